--- a/src/rudderpass/gateway/__init__.py
+++ b/src/rudderpass/gateway/__init__.py
@@ -1,5 +1,10 @@
 """The gateway: callers' HTTP requests, their checks, and their answers."""
 
+from rudderpass.gateway._admission import (
+    Admission as Admission,
+    Decision as Decision,
+    Ticket as Ticket,
+)
 from rudderpass.gateway._app import Gateway as Gateway
 from rudderpass.gateway._keyed import REPLAYED_HEADER as REPLAYED_HEADER
 from rudderpass.gateway._problems import (
@@ -17,9 +22,4 @@
     read_request as read_request,
 )
 from rudderpass.gateway._services import Services as Services
-from rudderpass.gateway._ticket import (
-    Admission as Admission,
-    Decision as Decision,
-    Ticket as Ticket,
-)
 from rudderpass.gateway._watch import CallerWatch as CallerWatch
--- a/src/rudderpass/gateway/_serve.py
+++ b/src/rudderpass/gateway/_serve.py
@@ -13,6 +13,7 @@
 from rudderpass.core import Admitted, Rejected, Submission
 from rudderpass.declarations import UpstreamKind, UpstreamSpec
 from rudderpass.errors import CallerGone, UpstreamError
+from rudderpass.gateway._admission import Ticket
 from rudderpass.gateway._keyed import REPLAYED_HEADER, KeptAnswer, KeyedWork
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER,
@@ -26,7 +27,6 @@
 from rudderpass.gateway._recording import AnswerRecorder
 from rudderpass.gateway._request import CallerRequest
 from rudderpass.gateway._services import Services
-from rudderpass.gateway._ticket import Ticket
 from rudderpass.observe import Latency, log
 from rudderpass.pools import Granted, Refused
 from rudderpass.routing import Ending, Usage
