--- a/src/rudderpass/gateway/__init__.py
+++ b/src/rudderpass/gateway/__init__.py
@@ -6,7 +6,7 @@
     Ticket as Ticket,
 )
 from rudderpass.gateway._app import Gateway as Gateway
-from rudderpass.gateway._keyed import REPLAYED_HEADER as REPLAYED_HEADER
+from rudderpass.gateway._idempotency import REPLAYED_HEADER as REPLAYED_HEADER
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER as OUTCOME_HEADER,
     REQUEST_ID_HEADER as REQUEST_ID_HEADER,
--- a/src/rudderpass/gateway/_serve.py
+++ b/src/rudderpass/gateway/_serve.py
@@ -14,7 +14,7 @@
 from rudderpass.declarations import UpstreamKind, UpstreamSpec
 from rudderpass.errors import CallerGone, UpstreamError
 from rudderpass.gateway._admission import Ticket
-from rudderpass.gateway._keyed import REPLAYED_HEADER, KeptAnswer, KeyedWork
+from rudderpass.gateway._idempotency import REPLAYED_HEADER, KeptAnswer, KeyedWork
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
