--- a/src/rudderpass/gateway/__init__.py
+++ b/src/rudderpass/gateway/__init__.py
@@ -6,6 +6,7 @@
     Ticket as Ticket,
 )
 from rudderpass.gateway._app import Gateway as Gateway
+from rudderpass.gateway._disconnect import CallerWatch as CallerWatch
 from rudderpass.gateway._idempotency import REPLAYED_HEADER as REPLAYED_HEADER
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER as OUTCOME_HEADER,
@@ -22,4 +23,3 @@
     read_request as read_request,
 )
 from rudderpass.gateway._services import Services as Services
-from rudderpass.gateway._watch import CallerWatch as CallerWatch
--- a/src/rudderpass/gateway/_services.py
+++ b/src/rudderpass/gateway/_services.py
@@ -8,7 +8,7 @@
 from rudderpass._ids import ClassName
 from rudderpass.claims import Claimer
 from rudderpass.gateway._admission import Admission
-from rudderpass.gateway._watch import CallerWatch
+from rudderpass.gateway._disconnect import CallerWatch
 from rudderpass.observe import NodeMetrics
 from rudderpass.streams import Relay, RetryBudget
 
