--- a/src/rudderpass/gateway/_app.py
+++ b/src/rudderpass/gateway/_app.py
@@ -9,6 +9,7 @@
 
 from returns.result import Failure
 
+from rudderpass.gateway._handler import Caller, Serving, StartResponse
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -16,7 +17,6 @@
     new_request_id,
 )
 from rudderpass.gateway._request import CallerRequest, read_request
-from rudderpass.gateway._serve import Caller, Serving, StartResponse
 from rudderpass.gateway._services import Services
 from rudderpass.observe import log
 from rudderpass.streams import Outcome
