--- a/src/rudderpass/streams/__init__.py
+++ b/src/rudderpass/streams/__init__.py
@@ -4,7 +4,13 @@
     ChunkDecoder as ChunkDecoder,
     ChunkError as ChunkError,
 )
-from rudderpass.streams._outcome import (
+from rudderpass.streams._relay import (
+    CallerSide as CallerSide,
+    Relay as Relay,
+    StreamEnd as StreamEnd,
+    StreamResult as StreamResult,
+)
+from rudderpass.streams._retry import (
     AttemptState as AttemptState,
     NextStep as NextStep,
     Outcome as Outcome,
@@ -13,9 +19,3 @@
     note_failure as note_failure,
     outcome_of as outcome_of,
 )
-from rudderpass.streams._relay import (
-    CallerSide as CallerSide,
-    Relay as Relay,
-    StreamEnd as StreamEnd,
-    StreamResult as StreamResult,
-)
