--- a/src/rudderpass/cli/_nodes.py
+++ b/src/rudderpass/cli/_nodes.py
@@ -193,7 +193,7 @@
 
     def on_signal(number: int, frame: FrameType | None) -> None:
         if asked.is_set():
-            cut = running.cut_short()
+            cut = running.abort_drain()
             click.echo(f"stopping now, which cuts {cut} requests", err=True)
         asked.set()
 
--- a/src/rudderpass/exchange/_app.py
+++ b/src/rudderpass/exchange/_app.py
@@ -75,7 +75,7 @@
         log("answer", f"bad request, {error}.", status=error.status.value)
         text = f"{error}\n".encode()
         headers = self._parts.dialect.write_refusal(None, None)
-        caller.close_after_answer()
+        caller.close_after_response()
         length = ("Content-Length", str(len(text)))
         status = f"{error.status.value} {error.status.phrase}"
         start_response(status, [*headers, length])
--- a/src/rudderpass/exchange/_progress.py
+++ b/src/rudderpass/exchange/_progress.py
@@ -141,7 +141,7 @@
     ) -> Callable[[bytes], object]:
         """Give the answer's head to the caller."""
         if self.parts.core.is_stopping:
-            self.caller.close_after_answer()
+            self.caller.close_after_response()
         return self._start_response(status, headers)
 
     def expect_stream(self, status: str, headers: list[tuple[str, str]]) -> None:
--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -22,7 +22,7 @@
 from rudderpass.exchange._request import ExchangeRequest
 from rudderpass.exchange._send import Send
 from rudderpass.exchange._vetting import Vetting
-from rudderpass.streams import AttemptState, NextStep, decide_next, note_failure
+from rudderpass.streams import AttemptState, NextStep, decide_next, record_failure
 from rudderpass.webserver import CallerConnection
 
 MAX_SENDS = 4
@@ -173,7 +173,7 @@
         if not isinstance(error, StaleConnection):
             self._excluded.add(assigned.upstream)
         progress = self._progress
-        progress.state = note_failure(progress.state, error)
+        progress.state = record_failure(progress.state, error)
         now = _clock.now()
         is_in_time = now < accepted.deadline - LATE_SECONDS
         may_go_on = vetting.note_failure(assigned, error)
--- a/src/rudderpass/gateway/_admission.py
+++ b/src/rudderpass/gateway/_admission.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of a node: ask for a slot, give it back."""
+"""The gateway's interface to a node: request a slot, release it."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 @dataclass
-class Ticket:
-    """A request's place at the node until it is decided.
+class PendingRequest:
+    """A submitted request that waits for the node's decision.
 
-    :param admitted: what the request was matched to; None when it was rejected.
-    :param future: the decision.
+    :param admitted: the class, route and pool matched; None if it was rejected.
+    :param future: completes with the decision.
     """
 
     request_id: RequestId
@@ -29,20 +29,20 @@
 
 
 class Admission(Protocol):
-    """The node behind the gateway."""
+    """Admission of requests by the node."""
 
     @property
     def catalog(self) -> Catalog:
-        """The declared objects in force."""
+        """The catalog of the configuration in force."""
 
-    def submit(self, submission: Submission) -> Ticket:
-        """Ask for a slot."""
+    def submit(self, submission: Submission) -> PendingRequest:
+        """Request a slot."""
 
     def finish(self, request_id: RequestId, usage: Usage) -> None:
-        """Give back whatever a request holds."""
+        """Release all that a request holds and record its usage."""
 
-    def note_progress(self, request_id: RequestId, tokens: int) -> None:
-        """Tell how many tokens a running request has brought so far."""
+    def record_progress(self, request_id: RequestId, tokens: int) -> None:
+        """Report the tokens that a running request has produced so far."""
 
     def shed_lowest(self, reason: str) -> None:
-        """Refuse the newest waiting request of the lowest tier."""
+        """Shed the newest waiting request of the lowest tier."""
--- a/src/rudderpass/gateway/_app.py
+++ b/src/rudderpass/gateway/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers reach."""
+"""The WSGI application that serves callers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from returns.result import Failure
 
-from rudderpass.gateway._handler import Caller, Serving, StartResponse
+from rudderpass.gateway._handler import Caller, RequestHandler, StartResponse
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -23,19 +23,19 @@
 from rudderpass.webserver import GONE_KEY, PENDING_KEY
 
 MODELS_PATH = "/v1/models"
-_HEADROOM_SHARE = 8
-"""One thread in so many is kept free to answer what is shed."""
+_RESERVED_THREADS_DIVISOR = 8
+"""One thread in this many is kept free to respond to shed requests."""
 
 
 class Gateway:
-    """Answers callers.
+    """Serves callers' requests.
 
-    A request meets admission in the thread that took it. When the threads run
-    short, waiting work of the lowest tier is refused at once, so that no request
-    ever queues for a thread in front of the tiers.
+    A request passes admission on the thread that received it. When free threads run
+    low, the newest waiting request of the lowest tier is shed at once, so that no
+    request waits for a thread in a queue that ignores tiers.
 
-    :param services: the node's parts.
-    :param threads: the server's threads.
+    :param services: the node's services.
+    :param threads: number of server threads.
 
     .. versionadded:: 0.1
     """
@@ -43,13 +43,13 @@
     def __init__(self, services: Services, threads: int) -> None:
         self._services = services
         services.is_full = self._is_full
-        self._limit = threads - max(2, threads // _HEADROOM_SHARE)
+        self._max_active = threads - max(2, threads // _RESERVED_THREADS_DIVISOR)
         self._lock = threading.Lock()
         self._active = 0
 
     @property
     def active(self) -> int:
-        """Requests that wait or run."""
+        """Number of requests waiting or running."""
         return self._active
 
     def __call__(
@@ -57,35 +57,35 @@
     ) -> Iterable[bytes]:
         request_id = new_request_id()
         catalog = self._services.admission.catalog
-        read = read_request(environ, catalog, request_id)
-        if isinstance(read, Failure):
-            return self._answer_problem(read.failure(), request_id, start_response)
-        request = read.unwrap()
+        parsed = read_request(environ, catalog, request_id)
+        if isinstance(parsed, Failure):
+            return self._send_problem(parsed.failure(), request_id, start_response)
+        request = parsed.unwrap()
         if request.path == MODELS_PATH and request.method == "GET":
             return self._list_models(request, start_response)
         caller = Caller(
             start_response,
             environ.get(GONE_KEY, _never_gone),
-            environ.get(PENDING_KEY, _nothing_pending),
+            environ.get(PENDING_KEY, _no_pending_bytes),
         )
-        self._enter()
+        self._increment_active()
         try:
-            return Serving(self._services, request, caller).run()
+            return RequestHandler(self._services, request, caller).run()
         finally:
-            self._leave()
+            self._decrement_active()
 
-    def _enter(self) -> None:
+    def _increment_active(self) -> None:
         with self._lock:
             self._active += 1
 
     def _is_full(self) -> bool:
-        return self._active > self._limit
+        return self._active > self._max_active
 
-    def _leave(self) -> None:
+    def _decrement_active(self) -> None:
         with self._lock:
             self._active -= 1
 
-    def _answer_problem(
+    def _send_problem(
         self, problem: Problem, request_id: str, start_response: StartResponse
     ) -> Iterable[bytes]:
         log(
@@ -118,5 +118,5 @@
     return False
 
 
-def _nothing_pending() -> int:
+def _no_pending_bytes() -> int:
     return 0
--- a/src/rudderpass/gateway/_disconnect.py
+++ b/src/rudderpass/gateway/_disconnect.py
@@ -1,4 +1,4 @@
-"""Notices callers that go away while their request is served."""
+"""Detects callers that disconnect while their request is being served."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-_INTERVAL_SECONDS = 0.1
+_POLL_SECONDS = 0.1
 
 
 @dataclass(eq=False)
-class _Watched:
+class _WatchedCaller:
     is_gone: Callable[[], bool]
     on_gone: Callable[[], None]
 
 
-class CallerWatch:
-    """Calls back, once, when a watched caller has closed its connection.
+class DisconnectWatcher:
+    """Polls watched callers; calls back once when one closes its connection.
 
     .. versionadded:: 0.1
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._watched: set[_Watched] = set()
+        self._watched: set[_WatchedCaller] = set()
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="caller-watch", daemon=True
         )
 
     def start(self) -> None:
-        """Start to watch."""
+        """Start the watcher's thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop watching."""
+        """Stop the watcher's thread."""
         self._stopping.set()
 
     @contextmanager
-    def watching(
+    def watch(
         self, is_gone: Callable[[], bool], on_gone: Callable[[], None]
     ) -> Iterator[None]:
-        """Watch a caller for as long as the block runs."""
-        watched = _Watched(is_gone, on_gone)
+        """Watch a caller within a ``with`` block."""
+        watched = _WatchedCaller(is_gone, on_gone)
         with self._lock:
             self._watched.add(watched)
         try:
@@ -53,7 +53,7 @@
                 self._watched.discard(watched)
 
     def _run(self) -> None:
-        while not self._stopping.wait(_INTERVAL_SECONDS):
+        while not self._stopping.wait(_POLL_SECONDS):
             with self._lock:
                 gone = [watched for watched in self._watched if watched.is_gone()]
                 self._watched.difference_update(gone)
--- a/src/rudderpass/gateway/_handler.py
+++ b/src/rudderpass/gateway/_handler.py
@@ -1,4 +1,4 @@
-"""Serve one checked request: attempts, retries, resumption, and the answer."""
+"""Handles one validated request: attempts, retries, resumption, and the response."""
 
 from __future__ import annotations
 
@@ -13,8 +13,12 @@
 from rudderpass.core import Admitted, Rejected, Submission
 from rudderpass.declarations import UpstreamKind, UpstreamSpec
 from rudderpass.errors import CallerGone, UpstreamError
-from rudderpass.gateway._admission import Ticket
-from rudderpass.gateway._idempotency import REPLAYED_HEADER, KeptAnswer, KeyedWork
+from rudderpass.gateway._admission import PendingRequest
+from rudderpass.gateway._idempotency import (
+    REPLAYED_HEADER,
+    IdempotentRequest,
+    StoredResponse,
+)
 from rudderpass.gateway._problems import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -24,7 +28,7 @@
     problem_of_rejection,
     status_line,
 )
-from rudderpass.gateway._recording import AnswerRecorder
+from rudderpass.gateway._recording import ResponseRecorder
 from rudderpass.gateway._request import CallerRequest
 from rudderpass.gateway._services import Services
 from rudderpass.observe import Latency, log
@@ -32,15 +36,15 @@
 from rudderpass.routing import Ending, Usage
 from rudderpass.streams import (
     AttemptState,
-    CallerSide,
     NextStep,
     Outcome,
     RetryBudget,
     StreamEnd,
     StreamResult,
+    StreamSink,
     decide_next,
-    note_failure,
     outcome_of,
+    record_failure,
 )
 from rudderpass.upstreams import (
     PRIORITY_HEADER,
@@ -57,19 +61,19 @@
 
 @dataclass
 class Caller:
-    """The caller's end of one request."""
+    """The caller's connection, as the WSGI server exposes it."""
 
     start_response: StartResponse
     is_gone: Callable[[], bool]
     pending: Callable[[], int]
 
 
-class Serving:
-    """Serves one request from its first submission to its answer.
+class RequestHandler:
+    """Handles one request from its first submission to its response.
 
-    :param services: the node's parts.
-    :param request: the checked request.
-    :param caller: where the answer goes.
+    :param services: the node's services.
+    :param request: the validated request.
+    :param caller: receives the response.
 
     .. versionadded:: 0.1
     """
@@ -85,51 +89,57 @@
         self._admitted: Admitted | None = None
         self._write: Callable[[bytes], object] | None = None
         self._excluded: tuple[UpstreamId, ...] = ()
-        self._recorder = AnswerRecorder(services, request, self._arrived)
-        self._keyed: KeyedWork | None = None
+        self._recorder = ResponseRecorder(services, request, self._arrived)
+        self._idempotent: IdempotentRequest | None = None
         self._holds_key = False
-        self._may_run = False
-        self._submissions = 0
+        self._attempt_may_have_run = False
+        self._submission_count = 0
 
     def run(self) -> Iterable[bytes]:
-        """Return the answer's body; streamed answers are written meanwhile."""
+        """Return the response's body; streams are written to the caller directly."""
         try:
             return self._run_attempts()
         except CallerGone:
-            outcome = Outcome.UNKNOWN if self._may_run else outcome_of(self._state)
+            outcome = (
+                Outcome.UNKNOWN
+                if self._attempt_may_have_run
+                else outcome_of(self._state)
+            )
             self._release_key(outcome)
             self._recorder.record(outcome, self._state.produced)
             log(
                 "answer",
-                f"{self._request.request_id} caller is gone.",
+                f"{self._request.request_id} caller disconnected.",
                 request=self._request.request_id,
             )
             return []
 
     def _run_attempts(self) -> Iterable[bytes]:
         while True:
-            attempt = RequestId(f"{self._request.request_id}.{self._submissions}")
-            self._submissions += 1
-            ticket = self._services.admission.submit(self._submission(attempt))
-            self._note_admitted(ticket)
+            attempt = RequestId(f"{self._request.request_id}.{self._submission_count}")
+            self._submission_count += 1
+            pending_request = self._services.admission.submit(
+                self._build_submission(attempt)
+            )
+            self._record_admission(pending_request)
             if self._needs_claim():
-                answer = self._claim(attempt)
-                if answer is not None:
-                    return answer
+                body = self._claim_key(attempt)
+                if body is not None:
+                    return body
                 if not self._holds_key:
                     continue
             if self._services.is_full():
                 self._services.admission.shed_lowest("this node is full")
-            granted = self._await_grant(attempt, ticket)
+            granted = self._await_grant(attempt, pending_request)
             if isinstance(granted, Problem):
-                return self._fail(granted)
+                return self._send_problem(granted)
             self._state = replace(self._state, attempts=self._state.attempts + 1)
             try:
-                return self._attempt(attempt, granted)
+                return self._run_attempt(attempt, granted)
             except UpstreamError as error:
-                problem = self._after_failure(granted, error)
+                problem = self._handle_failure(granted, error)
                 if problem is not None:
-                    return self._fail(problem)
+                    return self._send_problem(problem)
 
     def _needs_claim(self) -> bool:
         admitted = self._admitted
@@ -137,50 +147,52 @@
             return False
         return self._request.key is not None
 
-    def _claim(self, attempt: RequestId) -> Iterable[bytes] | None:
-        """Claim the key; return an answer if this request may not run the work.
+    def _claim_key(self, attempt: RequestId) -> Iterable[bytes] | None:
+        """Claim the key; return a body if this request must not be executed.
 
-        While another request runs it, this one waits without a slot: it might hold
-        the very slot that the other one needs. None without the key held means that
-        the key came free, and that a slot is to be asked for again.
+        While another request holds the key, this one waits without a slot, because
+        the other may need that slot. None without the key held means that the key
+        was released meanwhile and that a slot must be requested again.
         """
         assert self._admitted is not None
-        if self._keyed is None:
+        if self._idempotent is None:
             route = self._admitted.route
-            self._keyed = KeyedWork(self._services.claimer, self._request, route)
-        claimed = self._keyed.claim()
+            self._idempotent = IdempotentRequest(
+                self._services.claimer, self._request, route
+            )
+        claimed = self._idempotent.claim()
         if claimed is None:
             self._holds_key = True
             return None
         self._services.admission.finish(attempt, Usage(Ending.CANCELLED))
-        refusal: Problem | KeptAnswer | None
+        resolution: Problem | StoredResponse | None
         if isinstance(claimed, Problem):
-            refusal = claimed
+            resolution = claimed
         else:
-            refusal = self._keyed.follow(claimed)
-        if refusal is None:
+            resolution = self._idempotent.follow(claimed)
+        if resolution is None:
             return None
-        if isinstance(refusal, Problem):
-            return self._fail(refusal)
+        if isinstance(resolution, Problem):
+            return self._send_problem(resolution)
         self._recorder.record(Outcome.COMPLETED, 0)
         headers = [
-            ("Content-Type", refusal.content_type),
+            ("Content-Type", resolution.content_type),
             (REQUEST_ID_HEADER, self._request.request_id),
             (OUTCOME_HEADER, Outcome.COMPLETED.value),
             (REPLAYED_HEADER, "true"),
         ]
-        self._caller.start_response(status_line(refusal.status), headers)
-        return [refusal.body]
+        self._caller.start_response(status_line(resolution.status), headers)
+        return [resolution.body]
 
     def _release_key(self, outcome: Outcome) -> None:
-        """Let another request run the work, if this one certainly did not."""
-        if self._keyed is None or not self._holds_key:
+        """Release the key if this request was certainly not executed."""
+        if self._idempotent is None or not self._holds_key:
             return
         if outcome is Outcome.NOT_RUN:
             self._holds_key = False
-            self._keyed.release()
+            self._idempotent.release()
 
-    def _submission(self, attempt: RequestId) -> Submission:
+    def _build_submission(self, attempt: RequestId) -> Submission:
         request = self._request
         return Submission(
             request_id=attempt,
@@ -196,8 +208,8 @@
             excluded=self._excluded,
         )
 
-    def _note_admitted(self, ticket: Ticket) -> None:
-        admitted = ticket.admitted
+    def _record_admission(self, pending_request: PendingRequest) -> None:
+        admitted = pending_request.admitted
         if admitted is None or self._admitted is not None:
             return
         self._admitted = admitted
@@ -205,11 +217,15 @@
         self._state = replace(self._state, repeatable=admitted.repeatable)
         spec = self._services.admission.catalog.classes.get(admitted.service_class)
         if spec is not None:
-            self._budget(admitted.service_class).earn(spec.retry_budget)
-
-    def _await_grant(self, attempt: RequestId, ticket: Ticket) -> Granted | Problem:
-        future = ticket.future
-        with self._services.watch.watching(self._caller.is_gone, self._abort(ticket)):
+            self._retry_budget(admitted.service_class).earn(spec.retry_budget)
+
+    def _await_grant(
+        self, attempt: RequestId, pending_request: PendingRequest
+    ) -> Granted | Problem:
+        future = pending_request.future
+        with self._services.disconnects.watch(
+            self._caller.is_gone, self._make_cancel(pending_request)
+        ):
             try:
                 decision = future.result()
             except CancelledError:
@@ -230,29 +246,33 @@
         return decision
 
     @staticmethod
-    def _abort(ticket: Ticket) -> Callable[[], None]:
-        def abort() -> None:
-            ticket.future.cancel()
+    def _make_cancel(pending_request: PendingRequest) -> Callable[[], None]:
+        def cancel_pending() -> None:
+            pending_request.future.cancel()
 
-        return abort
+        return cancel_pending
 
-    def _attempt(self, attempt: RequestId, granted: Granted) -> Iterable[bytes]:
-        """Run one attempt; whatever happens, give the grant back once."""
-        began = time.monotonic()
+    def _run_attempt(self, attempt: RequestId, granted: Granted) -> Iterable[bytes]:
+        """Run one attempt; the grant is released exactly once, whatever the result."""
+        started = time.monotonic()
         usage = Usage(Ending.FAILED)
         try:
             spec = self._find_upstream(granted)
-            answer = self._open(spec, granted)
+            response = self._open_exchange(spec, granted)
             try:
-                with self._services.watch.watching(self._caller.is_gone, answer.close):
-                    if answer.is_stream():
-                        usage, body = self._pass_stream(attempt, answer, spec, began)
+                with self._services.disconnects.watch(
+                    self._caller.is_gone, response.close
+                ):
+                    if response.is_stream():
+                        usage, body = self._relay_stream(
+                            attempt, response, spec, started
+                        )
                     elif self._write is not None:
-                        raise _not_resumed(spec)
+                        raise _resume_failed(spec)
                     else:
-                        usage, body = self._pass_whole(answer, spec, began)
+                        usage, body = self._relay_response(response, spec, started)
             finally:
-                answer.close()
+                response.close()
         except _StreamBroken as broken:
             usage = broken.usage
             raise broken.error from None
@@ -262,7 +282,7 @@
             if error.refused:
                 usage = Usage(Ending.UNUSED)
             if error.refused or not error.sent:
-                self._may_run = False
+                self._attempt_may_have_run = False
             if self._caller.is_gone():
                 usage = Usage(Ending.CANCELLED)
                 raise CallerGone("the caller left", step="answer") from error
@@ -284,7 +304,7 @@
             )
         return spec
 
-    def _open(self, spec: UpstreamSpec, granted: Granted) -> OpenAnswer:
+    def _open_exchange(self, spec: UpstreamSpec, granted: Granted) -> OpenAnswer:
         request = self._request
         headers = {**request.headers, REQUEST_ID_HEADER: request.request_id}
         if self._admitted is not None:
@@ -293,38 +313,42 @@
             headers["Idempotency-Key"] = request.key
         if self._state.produced:
             headers[RESUME_HEADER] = str(self._state.produced)
-        self._may_run = True
+        self._attempt_may_have_run = True
         sent = UpstreamRequest(request.method, request.target, headers, request.body)
         return open_answer(spec, sent, self._services.upstream_timeout)
 
-    def _pass_stream(
-        self, attempt: RequestId, answer: OpenAnswer, spec: UpstreamSpec, began: float
+    def _relay_stream(
+        self,
+        attempt: RequestId,
+        response: OpenAnswer,
+        spec: UpstreamSpec,
+        started: float,
     ) -> tuple[Usage, Iterable[bytes]]:
         if self._write is None:
             headers = [
-                ("Content-Type", answer.content_type),
+                ("Content-Type", response.content_type),
                 ("Cache-Control", "no-cache"),
                 (REQUEST_ID_HEADER, self._request.request_id),
             ]
             write = self._caller.start_response("200 OK", headers)
             self._write = convert_disconnect(write)
-        caller = CallerSide(
+        sink = StreamSink(
             self._write,
             self._caller.pending,
             self._caller.is_gone,
-            lambda tokens: self._services.admission.note_progress(attempt, tokens),
+            lambda tokens: self._services.admission.record_progress(attempt, tokens),
         )
-        relayed_from = time.monotonic()
+        relay_started = time.monotonic()
         future = self._services.relay.relay(
-            answer.socket,
-            answer.take_leftover(),
-            answer.chunked,
-            caller,
+            response.socket,
+            response.take_leftover(),
+            response.chunked,
+            sink,
             self._services.upstream_timeout,
         )
         result = future.result()
-        usage = self._usage_of_stream(result, relayed_from - began)
-        self._note_tokens(result, relayed_from)
+        usage = self._stream_usage(result, relay_started - started)
+        self._record_tokens(result, relay_started)
         if result.end is StreamEnd.BROKEN:
             error = UpstreamError(
                 f"the stream broke: {result.reason}",
@@ -337,7 +361,7 @@
             self._finish_stream(Outcome.COMPLETED)
         return usage, []
 
-    def _usage_of_stream(self, result: StreamResult, opening: float) -> Usage:
+    def _stream_usage(self, result: StreamResult, open_seconds: float) -> Usage:
         endings = {
             StreamEnd.COMPLETE: Ending.COMPLETED,
             StreamEnd.BROKEN: Ending.FAILED,
@@ -346,14 +370,14 @@
         return Usage(
             endings[result.end],
             result.tokens,
-            result.first_token + opening,
-            result.duration + opening,
+            result.first_token + open_seconds,
+            result.duration + open_seconds,
         )
 
-    def _note_tokens(self, result: StreamResult, relayed_from: float) -> None:
+    def _record_tokens(self, result: StreamResult, relay_started: float) -> None:
         if result.tokens:
-            self._recorder.note_first_token(relayed_from + result.first_token)
-        self._recorder.note_gap(result.worst_gap)
+            self._recorder.record_first_token(relay_started + result.first_token)
+        self._recorder.record_gap(result.max_gap)
         produced = self._state.produced + result.tokens
         self._state = replace(self._state, produced=produced)
 
@@ -366,40 +390,43 @@
             pass
         self._recorder.record_completed(self._state.produced)
 
-    def _pass_whole(
-        self, answer: OpenAnswer, spec: UpstreamSpec, began: float
+    def _relay_response(
+        self, response: OpenAnswer, spec: UpstreamSpec, started: float
     ) -> tuple[Usage, Iterable[bytes]]:
-        whole = answer.read_whole(spec.address)
-        duration = time.monotonic() - began
-        failed = whole.status >= HTTPStatus.INTERNAL_SERVER_ERROR
+        complete = response.read_whole(spec.address)
+        duration = time.monotonic() - started
+        failed = complete.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed and spec.kind is UpstreamKind.ENGINE:
             raise UpstreamError(
-                f"answered {whole.status}", sent=True, step="answer", peer=spec.address
+                f"responded with status {complete.status}",
+                sent=True,
+                step="answer",
+                peer=spec.address,
             )
-        tokens = _count_tokens(whole)
+        tokens = _count_tokens(complete)
         ending = Ending.FAILED if failed else Ending.COMPLETED
         usage = Usage(ending, tokens, duration, duration)
         outcome = Outcome.UNKNOWN if failed else Outcome.COMPLETED
         headers = [
-            ("Content-Type", whole.content_type),
+            ("Content-Type", complete.content_type),
             (REQUEST_ID_HEADER, self._request.request_id),
             (OUTCOME_HEADER, outcome.value),
         ]
-        self._caller.start_response(status_line(whole.status), headers)
+        self._caller.start_response(status_line(complete.status), headers)
         if failed:
             self._recorder.record(outcome, 0)
         else:
             self._recorder.record_completed(tokens)
-            if self._keyed is not None:
-                self._keyed.finish(whole)
-        return usage, [whole.body]
+            if self._idempotent is not None:
+                self._idempotent.finish(complete)
+        return usage, [complete.body]
 
-    def _after_failure(self, granted: Granted, error: UpstreamError) -> Problem | None:
-        self._state = note_failure(self._state, error)
+    def _handle_failure(self, granted: Granted, error: UpstreamError) -> Problem | None:
+        self._state = record_failure(self._state, error)
         self._excluded = (*self._excluded, granted.upstream)
         next_step = decide_next(self._state, error, within_budget=True)
         name = self._admitted.service_class if self._admitted else ClassName("")
-        if next_step is not NextStep.GIVE_UP and not self._budget(name).spend():
+        if next_step is not NextStep.GIVE_UP and not self._retry_budget(name).spend():
             next_step = decide_next(self._state, error, within_budget=False)
         log(
             "attempt",
@@ -420,7 +447,7 @@
             outcome_of(self._state),
         )
 
-    def _fail(self, problem: Problem) -> Iterable[bytes]:
+    def _send_problem(self, problem: Problem) -> Iterable[bytes]:
         self._recorder.record(problem.outcome, self._state.produced)
         self._release_key(problem.outcome)
         if self._write is None:
@@ -432,17 +459,17 @@
         self._write(comment.encode())
         return []
 
-    def _budget(self, name: ClassName) -> RetryBudget:
+    def _retry_budget(self, name: ClassName) -> RetryBudget:
         return self._services.budgets.setdefault(name, RetryBudget())
 
 
-def _not_resumed(spec: UpstreamSpec) -> UpstreamError:
-    text = "the upstream did not go on with the stream"
+def _resume_failed(spec: UpstreamSpec) -> UpstreamError:
+    text = "the upstream did not resume the stream"
     return UpstreamError(text, sent=True, step="resume", peer=spec.address)
 
 
 class _StreamBroken(Exception):
-    """A broken stream and what had passed of it."""
+    """Raised when a stream breaks; carries its usage so far."""
 
     def __init__(self, error: UpstreamError, usage: Usage) -> None:
         super().__init__(error.message)
@@ -450,12 +477,12 @@
         self.usage = usage
 
 
-def _count_tokens(answer: WholeAnswer) -> int:
-    """Return the tokens that an engine's whole answer reports, 0 if it does not."""
-    if not answer.content_type.startswith("application/json"):
+def _count_tokens(response: WholeAnswer) -> int:
+    """Return the completion tokens that an engine reports, or 0 if it reports none."""
+    if not response.content_type.startswith("application/json"):
         return 0
     try:
-        usage = json.loads(answer.body).get("usage") or {}
+        usage = json.loads(response.body).get("usage") or {}
         return int(usage.get("completion_tokens", 0))
     except (ValueError, AttributeError, TypeError):
         return 0
--- a/src/rudderpass/gateway/_idempotency.py
+++ b/src/rudderpass/gateway/_idempotency.py
@@ -1,4 +1,4 @@
-"""Requests whose work may not be repeated and that carry an idempotency key."""
+"""Non-repeatable requests that carry an idempotency key."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 from rudderpass.upstreams import WholeAnswer
 
 REPLAYED_HEADER = "X-Rudderpass-Replayed"
-_CLAIM_SECONDS = 3.0
-_OTHER_SECONDS = 10.0
-"""How long to wait for another request that runs the same work."""
+_CLAIM_TIMEOUT_SECONDS = 3.0
+_FOLLOW_TIMEOUT_SECONDS = 10.0
+"""How long to wait for another request with the same key to finish."""
 
-_RETRY_AFTER = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
-    """The answer that an earlier request with the same key got."""
+class StoredResponse:
+    """The stored response to an earlier request with the same key."""
 
     status: int
     content_type: str
     body: bytes
 
 
-class KeyedWork:
-    """One request's claim to the work that its key names.
+class IdempotentRequest:
+    """One request's claim on its idempotency key.
 
-    :param route: keys of different routes are different work.
+    :param route: scope of the key; the same key on another route is unrelated.
 
     .. versionadded:: 0.1
     """
@@ -55,88 +55,88 @@
         self._attempt = AttemptId(request.request_id)
         self._key = make_key(request.team, route, request.key)
         self._digest = digest_body(request.body)
-        self._follow_until = time.monotonic() + _OTHER_SECONDS
+        self._follow_deadline = time.monotonic() + _FOLLOW_TIMEOUT_SECONDS
 
     def claim(self) -> Problem | Entry | None:
-        """Claim the key; None means that this request may run the work.
+        """Claim the key; None means that this request may be executed.
 
-        An entry is that of another request which holds the key.
+        An entry belongs to another request, which holds the key.
         """
         result = self._claimer.claim(
-            self._key, self._attempt, self._digest, _CLAIM_SECONDS
+            self._key, self._attempt, self._digest, _CLAIM_TIMEOUT_SECONDS
         )
         if isinstance(result, Unavailable):
-            return _unavailable(result.reason)
+            return _claim_unavailable(result.reason)
         if isinstance(result, Lost):
             return result.entry
         if time.monotonic() < result.deadline:
             return None
         self.release()
-        return _unavailable("this node was paused meanwhile")
+        return _claim_unavailable("this node was paused past the deadline of the claim")
 
-    def follow(self, entry: Entry) -> Problem | KeptAnswer | None:
-        """Wait for what the winner does; None means that the key is free again."""
+    def follow(self, entry: Entry) -> Problem | StoredResponse | None:
+        """Wait for the request that holds the key; None means the key was released."""
         if entry.digest != self._digest:
             return Problem(
                 HTTPStatus.UNPROCESSABLE_ENTITY,
                 ProblemCode.KEY_REUSED,
-                "this key was used with another body",
+                "this key was used with a different request body",
             )
-        left = self._follow_until - time.monotonic()
-        latest = self._claimer.wait_done(self._key, left)
+        remaining = self._follow_deadline - time.monotonic()
+        latest = self._claimer.wait_done(self._key, remaining)
         if latest is None or latest.state is ClaimState.RELEASED:
             return None
         if latest.done is None:
-            return _in_use()
+            return _key_in_use()
         if not latest.done.body:
-            return _answer_not_kept()
+            return _response_not_stored()
         body = base64.b64decode(latest.done.body)
-        return KeptAnswer(latest.done.status, latest.done.content_type, body)
+        return StoredResponse(latest.done.status, latest.done.content_type, body)
 
     def release(self) -> None:
-        """Say that the work was not run, so that another request may run it."""
+        """Release the key, as the request was not executed; another may claim it."""
         self._claimer.release(self._key, self._attempt)
 
-    def finish(self, answer: WholeAnswer) -> None:
-        """Keep the answer for later requests with the same key."""
-        is_small = len(answer.body) <= MAX_ANSWER_BYTES
-        body = base64.b64encode(answer.body).decode() if is_small else ""
+    def finish(self, response: WholeAnswer) -> None:
+        """Store the response for later requests with the same key."""
+        is_storable = len(response.body) <= MAX_ANSWER_BYTES
+        body = base64.b64encode(response.body).decode() if is_storable else ""
         self._claimer.finish(
             Done(
                 key=self._key,
                 attempt=self._attempt,
-                status=answer.status,
-                content_type=answer.content_type,
+                status=response.status,
+                content_type=response.content_type,
                 body=body,
             )
         )
 
 
-def _unavailable(reason: str) -> Problem:
+def _claim_unavailable(reason: str) -> Problem:
     return Problem(
         HTTPStatus.SERVICE_UNAVAILABLE,
         ProblemCode.KEY_NOT_USABLE,
-        f"the key could not be claimed: {reason}",
+        f"the idempotency key could not be claimed: {reason}",
         Outcome.NOT_RUN,
-        _RETRY_AFTER,
+        _RETRY_AFTER_SECONDS,
     )
 
 
-def _in_use() -> Problem:
+def _key_in_use() -> Problem:
     return Problem(
         HTTPStatus.CONFLICT,
         ProblemCode.KEY_IN_USE,
         "another request with this key runs, or its end is not known",
         Outcome.UNKNOWN,
-        _RETRY_AFTER,
+        _RETRY_AFTER_SECONDS,
     )
 
 
-def _answer_not_kept() -> Problem:
+def _response_not_stored() -> Problem:
     return Problem(
         HTTPStatus.CONFLICT,
         ProblemCode.KEY_IN_USE,
-        "another request with this key completed; its answer was empty or too "
-        "large to keep",
+        "another request with this key completed; its response was empty or too "
+        "large to store",
         Outcome.COMPLETED,
     )
--- a/src/rudderpass/gateway/_problems.py
+++ b/src/rudderpass/gateway/_problems.py
@@ -1,4 +1,4 @@
-"""Errors as callers see them, in the usual shape of the completions API."""
+"""Error responses to callers, in the error format of the completions API."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def new_request_id() -> RequestId:
-    """Return an id that no other request has."""
+    """Return a new random request id."""
     return RequestId(f"req-{secrets.token_urlsafe(_ID_BYTES)}")
 
 
 class ProblemCode(Enum):
-    """The ``code`` field of an error."""
+    """Values of the ``code`` field of an error."""
 
     INVALID_ENCODING = "invalid_encoding"
     INVALID_JSON = "invalid_json"
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """An error answer.
+    """An error response.
 
-    :param retry_after: seconds after which asking again may help, if it may.
+    :param retry_after: seconds after which a retry may succeed; None if it cannot.
     """
 
     status: HTTPStatus
@@ -71,7 +71,7 @@
         return json.dumps({"error": error}).encode()
 
     def headers(self, request_id: str) -> list[tuple[str, str]]:
-        """Return the headers of the answer."""
+        """Return the headers of the response."""
         headers = [
             ("Content-Type", "application/json"),
             (REQUEST_ID_HEADER, request_id),
@@ -82,11 +82,11 @@
         return headers
 
     def status_line(self) -> str:
-        """Return code and phrase."""
+        """Return the status code and its reason phrase."""
         return status_line(self.status.value)
 
     def event(self) -> bytes:
-        """Return the error as an event inside a stream."""
+        """Return the error as a server-sent event."""
         return b"data: " + self.body() + b"\n\n"
 
     def _type(self) -> str:
@@ -115,7 +115,7 @@
 
 
 def status_line(status: int) -> str:
-    """Return a status code with its phrase."""
+    """Return a status code with its reason phrase."""
     try:
         return f"{status} {HTTPStatus(status).phrase}"
     except ValueError:
@@ -125,13 +125,13 @@
 def problem_of_rejection(
     kind: RefusalKind, message: str, retry_after: float | None, outcome: Outcome
 ) -> Problem:
-    """Return the answer for a request that the node's core rejected."""
+    """Return the error for a request that the node's core rejected."""
     status, code = _REJECTIONS[kind]
     return Problem(status, code, message, outcome, retry_after)
 
 
 def overloaded(reason: str, retry_after: float, outcome: Outcome) -> Problem:
-    """Return the answer for a request that was shed or waited too long."""
+    """Return the error for a request that was shed or exceeded its maximum wait."""
     text = f"no capacity for this request: {reason}"
     return Problem(
         HTTPStatus.SERVICE_UNAVAILABLE,
@@ -142,8 +142,8 @@
     )
 
 
-def answer_bad_http(status: HTTPStatus, reason: str) -> ErrorReply:
-    """Answer what is not HTTP, or too large, before it reaches the application."""
+def reply_to_bad_request(status: HTTPStatus, reason: str) -> ErrorReply:
+    """Build the reply to a malformed or oversized request, which no app sees."""
     problem = Problem(status, ProblemCode.INVALID_REQUEST, reason)
     headers = tuple(problem.headers(new_request_id()))
     return ErrorReply(status, headers, problem.body())
--- a/src/rudderpass/gateway/_request.py
+++ b/src/rudderpass/gateway/_request.py
@@ -1,4 +1,4 @@
-"""Read a caller's request out of a WSGI environment."""
+"""Parse and validate a caller's request from a WSGI environment."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 _COMPLETION_PATHS = ("/v1/chat/completions", "/v1/completions")
 _PREFIX_CHARACTERS = 512
-_MAX_KEY = 256
+_MAX_KEY_CHARACTERS = 256
 _MAX_LABELS = 32
-_LABEL = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._/-]{0,126}[A-Za-z0-9])?")
-_VALUE = re.compile(r"[A-Za-z0-9._:/ -]{0,128}")
-_PASSED_HEADERS = ("Content-Type", "Accept")
+_LABEL_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._/-]{0,126}[A-Za-z0-9])?")
+_LABEL_VALUE = re.compile(r"[A-Za-z0-9._:/ -]{0,128}")
+_FORWARDED_HEADERS = ("Content-Type", "Accept")
 
 Environ = Mapping[str, Any]
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """One request, checked as far as that needs no decision."""
+    """One validated request, not yet matched to a class or route."""
 
     request_id: RequestId
     team: TeamId
@@ -51,19 +51,19 @@
 
     @property
     def target(self) -> str:
-        """Path and query, as sent on."""
+        """Path and query, as sent to the upstream."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
 
 def is_completion(path: str) -> bool:
-    """Tell whether ``path`` is one of the completions API's."""
+    """Return whether ``path`` belongs to the completions API."""
     return path in _COMPLETION_PATHS
 
 
 def read_request(
     environ: Environ, catalog: Catalog, request_id: RequestId
 ) -> Result[CallerRequest, Problem]:
-    """Check headers and body; the first error found is the answer."""
+    """Validate the headers and the body; fail with the first error found."""
     team = _read_team(environ, catalog)
     if isinstance(team, Failure):
         return Failure(team.failure())
@@ -81,18 +81,18 @@
         if isinstance(read, Failure):
             return Failure(read.failure())
         fields = read.unwrap()
-    caller = headers.unwrap()
+    caller_headers = headers.unwrap()
     return Success(
         CallerRequest(
             request_id=request_id,
             team=team.unwrap(),
-            service_class=caller.service_class,
-            labels=caller.labels,
-            key=caller.key,
+            service_class=caller_headers.service_class,
+            labels=caller_headers.labels,
+            key=caller_headers.key,
             method=method,
             path=path,
             query=str(environ.get("QUERY_STRING", "")),
-            headers=_passed_headers(environ),
+            headers=_forwarded_headers(environ),
             body=body,
             model=fields.model,
             stream=fields.stream,
@@ -119,7 +119,7 @@
     return Problem(
         HTTPStatus.METHOD_NOT_ALLOWED,
         ProblemCode.METHOD_NOT_ALLOWED,
-        f"{path} takes POST, not {method}",
+        f"{path} accepts POST, not {method}",
     )
 
 
@@ -128,8 +128,8 @@
     return None if value is None else str(value).strip()
 
 
-def _bad_header(name: str, why: str) -> Problem:
-    text = f"header {name} {why}"
+def _header_problem(name: str, reason: str) -> Problem:
+    text = f"header {name} {reason}"
     return Problem(HTTPStatus.BAD_REQUEST, ProblemCode.INVALID_HEADER, text)
 
 
@@ -140,22 +140,22 @@
     if scheme.lower() == "bearer" and token.strip():
         team = catalog.find_team(token.strip())
     if team is None:
-        text = "no team has this token; send Authorization: Bearer TOKEN"
+        text = "unknown bearer token; send Authorization: Bearer TOKEN"
         return Failure(Problem(HTTPStatus.UNAUTHORIZED, ProblemCode.UNAUTHORIZED, text))
     return Success(team)
 
 
 def _read_headers(environ: Environ) -> Result[_CallerHeaders, Problem]:
-    name = _single(environ, CLASS_HEADER)
+    name = _read_single_header(environ, CLASS_HEADER)
     if isinstance(name, Failure):
         return Failure(name.failure())
-    key = _single(environ, KEY_HEADER)
+    key = _read_single_header(environ, KEY_HEADER)
     if isinstance(key, Failure):
         return Failure(key.failure())
     key_value = key.unwrap()
-    if key_value is not None and not 0 < len(key_value) <= _MAX_KEY:
-        text = f"takes 1 to {_MAX_KEY} characters"
-        return Failure(_bad_header(KEY_HEADER, text))
+    if key_value is not None and not 0 < len(key_value) <= _MAX_KEY_CHARACTERS:
+        text = f"must have 1 to {_MAX_KEY_CHARACTERS} characters"
+        return Failure(_header_problem(KEY_HEADER, text))
     labels = _read_labels(_header(environ, LABELS_HEADER))
     if isinstance(labels, Failure):
         return Failure(labels.failure())
@@ -164,15 +164,15 @@
     return Success(_CallerHeaders(service_class, labels.unwrap(), key_value))
 
 
-def _single(environ: Environ, name: str) -> Result[str | None, Problem]:
-    """Read a header that may stand once; servers join repeated ones by commas."""
+def _read_single_header(environ: Environ, name: str) -> Result[str | None, Problem]:
+    """Read a single-valued header; servers join repeated headers with commas."""
     value = _header(environ, name)
     if value is None or "," not in value:
         return Success(value)
     values = {part.strip() for part in value.split(",")}
     if len(values) == 1:
         return Success(values.pop())
-    return Failure(_bad_header(name, "is given with different values"))
+    return Failure(_header_problem(name, "is repeated with different values"))
 
 
 def _read_labels(value: str | None) -> Result[dict[str, str], Problem]:
@@ -181,28 +181,34 @@
         if not part.strip():
             continue
         label, separator, content = part.strip().partition("=")
-        if not separator or not _LABEL.fullmatch(label):
-            return Failure(_bad_header(LABELS_HEADER, f"has no label in {part!r}"))
-        if not _VALUE.fullmatch(content):
-            return Failure(_bad_header(LABELS_HEADER, f"has a bad value for {label}"))
+        if not separator or not _LABEL_NAME.fullmatch(label):
+            return Failure(
+                _header_problem(LABELS_HEADER, f"has no valid label name in {part!r}")
+            )
+        if not _LABEL_VALUE.fullmatch(content):
+            return Failure(
+                _header_problem(LABELS_HEADER, f"has an invalid value for {label}")
+            )
         if labels.get(label, content) != content:
-            why = f"gives {label} different values"
-            return Failure(_bad_header(LABELS_HEADER, why))
+            reason = f"gives {label} different values"
+            return Failure(_header_problem(LABELS_HEADER, reason))
         labels[label] = content
     if len(labels) > _MAX_LABELS:
-        return Failure(_bad_header(LABELS_HEADER, f"has over {_MAX_LABELS} labels"))
+        return Failure(
+            _header_problem(LABELS_HEADER, f"has more than {_MAX_LABELS} labels")
+        )
     return Success(labels)
 
 
-def _passed_headers(environ: Environ) -> dict[str, str]:
-    passed = {
+def _forwarded_headers(environ: Environ) -> dict[str, str]:
+    forwarded = {
         "Content-Type": str(environ.get("CONTENT_TYPE") or "application/json"),
         "Accept": _header(environ, "Accept") or "*/*",
     }
-    return {name: passed[name] for name in _PASSED_HEADERS}
+    return {name: forwarded[name] for name in _FORWARDED_HEADERS}
 
 
-def _bad_body(code: ProblemCode, text: str) -> Failure[Problem]:
+def _body_problem(code: ProblemCode, text: str) -> Failure[Problem]:
     return Failure(Problem(HTTPStatus.BAD_REQUEST, code, text))
 
 
@@ -210,32 +216,38 @@
     try:
         text = body.decode("utf-8")
     except UnicodeDecodeError as error:
-        why = f"the body is not UTF-8 at byte {error.start}"
-        return _bad_body(ProblemCode.INVALID_ENCODING, why)
+        reason = f"the body is not UTF-8 at byte {error.start}"
+        return _body_problem(ProblemCode.INVALID_ENCODING, reason)
     try:
         value = json.loads(text)
     except (ValueError, RecursionError) as error:
-        return _bad_body(ProblemCode.INVALID_JSON, f"the body is not JSON: {error}")
+        return _body_problem(ProblemCode.INVALID_JSON, f"the body is not JSON: {error}")
     if not isinstance(value, dict):
-        return _bad_body(ProblemCode.INVALID_REQUEST, "the body is not an object")
+        return _body_problem(
+            ProblemCode.INVALID_REQUEST, "the body is not a JSON object"
+        )
     model = value.get("model")
     if not isinstance(model, str) or not model:
-        return _bad_body(ProblemCode.INVALID_REQUEST, "field model needs a text")
+        return _body_problem(
+            ProblemCode.INVALID_REQUEST, "field model must be a non-empty string"
+        )
     stream = value.get("stream", False)
     if not isinstance(stream, bool):
-        return _bad_body(ProblemCode.INVALID_REQUEST, "field stream is not a boolean")
+        return _body_problem(
+            ProblemCode.INVALID_REQUEST, "field stream must be a boolean"
+        )
     return Success(_BodyFields(model, stream, _hash_prefix(value)))
 
 
 def _hash_prefix(value: dict[str, Any]) -> int:
     prompt = value.get("messages", value.get("prompt", ""))
     if isinstance(prompt, list):
-        prompt = "\n".join(_text_of(item) for item in prompt)
+        prompt = "\n".join(_content_of(item) for item in prompt)
     prefix = str(prompt)[:_PREFIX_CHARACTERS]
     if not prefix:
         return 0
     return int(xxhash.xxh64_intdigest(prefix.encode(errors="replace")) >> 1)
 
 
-def _text_of(item: object) -> str:
+def _content_of(item: object) -> str:
     return str(item.get("content", "")) if isinstance(item, dict) else str(item)
--- a/src/rudderpass/gateway/_services.py
+++ b/src/rudderpass/gateway/_services.py
@@ -1,4 +1,4 @@
-"""What serving a request needs of its node."""
+"""Services of the node that request handlers use."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from rudderpass._ids import ClassName
 from rudderpass.claims import Claimer
 from rudderpass.gateway._admission import Admission
-from rudderpass.gateway._disconnect import CallerWatch
+from rudderpass.gateway._disconnect import DisconnectWatcher
 from rudderpass.observe import NodeMetrics
 from rudderpass.streams import Relay, RetryBudget
 
 
 @dataclass
 class Services:
-    """What serving needs, passed explicitly.
+    """Dependencies of a request handler.
 
-    :param upstream_timeout: seconds of silence after which an exchange failed.
-    :param claimer: claims work that a key names.
-    :param is_full: tells whether the server runs short of threads.
+    :param upstream_timeout: seconds without data after which an exchange fails.
+    :param claimer: claims idempotency keys.
+    :param is_full: returns whether the server is running out of threads.
     """
 
     admission: Admission
     relay: Relay
-    watch: CallerWatch
+    disconnects: DisconnectWatcher
     metrics: NodeMetrics
     budgets: dict[ClassName, RetryBudget]
     upstream_timeout: float
--- a/src/rudderpass/node/__init__.py
+++ b/src/rudderpass/node/__init__.py
@@ -1,4 +1,4 @@
-"""The node: a core, its sockets, its clock, and its settings."""
+"""The node process: its core, listeners, timers and settings."""
 
 from rudderpass.node._node import Node as Node
 from rudderpass.node._settings import (
--- a/src/rudderpass/node/_admin.py
+++ b/src/rudderpass/node/_admin.py
@@ -1,4 +1,4 @@
-"""Liveness, readiness, metrics and status, on a listener of their own."""
+"""Liveness, readiness, metrics and status, served on a separate listener."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PoolStatus:
-    """One pool that the node owns."""
+    """Load of one pool that the node owns."""
 
     pool: str
     waiting: int
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True)
 class NodeStatus:
-    """What ``rudderpass status`` shows of one node.
+    """A node's status, as shown by ``rudderpass status``.
 
-    :param cpu_seconds: processor time of the whole process since its start.
-    :param peak_memory_bytes: the most memory that the process has held.
+    :param cpu_seconds: CPU time used by the process since its start.
+    :param peak_memory_bytes: peak resident memory of the process.
     """
 
     node: str
@@ -53,7 +53,7 @@
 
 
 class AdminApp:
-    """The WSGI application for operators and the platform's balancer.
+    """The WSGI application for operators and the platform's load balancer.
 
     .. versionadded:: 0.1
     """
@@ -69,12 +69,12 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        code, content_type, body = self._answer(environ.get("PATH_INFO", ""))
+        status_line, content_type, body = self._respond(environ.get("PATH_INFO", ""))
         headers = [("Content-Type", content_type), ("Cache-Control", "no-store")]
-        start_response(code, headers)
+        start_response(status_line, headers)
         return [body]
 
-    def _answer(self, path: str) -> tuple[str, str, bytes]:
+    def _respond(self, path: str) -> tuple[str, str, bytes]:
         if path == LIVE_PATH:
             return "200 OK", "text/plain", b"live\n"
         if path == READY_PATH:
@@ -90,5 +90,5 @@
 
 
 def make_admin_server(app: AdminApp, address: str) -> HttpServer:
-    """Return a small server for ``app``."""
+    """Return a server for ``app`` with few threads and connections."""
     return HttpServer(app, address, ServerLimits(threads=_THREADS, connections=64))
--- a/src/rudderpass/node/_follower.py
+++ b/src/rudderpass/node/_follower.py
@@ -1,4 +1,4 @@
-"""Follows the platform's log and host list, and survives their outages."""
+"""Follows the platform's log and host list; tolerates their outages."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 from rudderpass.observe import log
 from rudderpass.publishing import replay_page
 
-_WAIT_SECONDS = 1.0
-_HOSTS_SECONDS = 1.0
-_NODES_PER_HOSTS_SECOND = 40
-"""The list grows with the hosts; asking less often keeps its traffic level."""
+_LONG_POLL_SECONDS = 1.0
+_MIN_HOST_LIST_SECONDS = 1.0
+_NODES_PER_INTERVAL_SECOND = 40
+"""The list grows with the hosts; a longer interval keeps its traffic constant."""
 
-_FIRST_PAUSE = 0.2
-_LONGEST_PAUSE = 5.0
+_MIN_BACKOFF_SECONDS = 0.2
+_MAX_BACKOFF_SECONDS = 5.0
 
 
-def hosts_interval(nodes: int) -> float:
-    """Return how often to read the host list, in seconds."""
-    return max(_HOSTS_SECONDS, nodes / _NODES_PER_HOSTS_SECOND)
+def host_list_interval(nodes: int) -> float:
+    """Return the interval between reads of the host list, in seconds."""
+    return max(_MIN_HOST_LIST_SECONDS, nodes / _NODES_PER_INTERVAL_SECOND)
 
 
 class PlatformFollower:
     """Keeps a node's configuration and host list up to date.
 
-    :param log_service: where configuration is read.
-    :param host_list: where hosts are read.
-    :param current: returns the configuration in force, which a peer may have
-        brought further than the log.
-    :param on_config: called with each newer configuration.
-    :param on_hosts: called with each host list.
+    :param log_service: source of configuration records.
+    :param host_list: source of the host list.
+    :param current: returns the configuration in force, which may be newer than the
+        last one read from the log if a peer sent it.
+    :param on_config: called with each newer configuration and its source.
+    :param on_hosts: called with each host list read.
 
-    ``snapshot_seen_at`` is when the newest snapshot record was read, on the
-    monotonic clock, or when the follower was made.
+    ``snapshot_read_at`` is when the newest snapshot record was read, on the
+    monotonic clock, or when the follower was created.
 
     .. versionadded:: 0.1
     """
@@ -62,42 +62,42 @@
         self._on_config = on_config
         self._on_hosts = on_hosts
         self._stopping = threading.Event()
-        self.snapshot_seen_at = time.monotonic()
+        self.snapshot_read_at = time.monotonic()
         self._threads = [
             threading.Thread(target=self._follow_log, name="log", daemon=True),
             threading.Thread(target=self._follow_hosts, name="hosts", daemon=True),
         ]
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop the threads."""
         self._stopping.set()
 
     def _follow_log(self) -> None:
         state = ConfigState()
-        pause = _FIRST_PAUSE
+        backoff = _MIN_BACKOFF_SECONDS
         while not self._stopping.is_set():
             current = self._current()
             if current.version > state.version:
                 state = current
             try:
                 page = self._log_service.read(
-                    CONFIG_STREAM, state.version, _WAIT_SECONDS
+                    CONFIG_STREAM, state.version, _LONG_POLL_SECONDS
                 )
             except PlatformError as error:
-                self._note_outage(error, pause)
-                pause = min(_LONGEST_PAUSE, pause * 2)
+                self._back_off(error, backoff)
+                backoff = min(_MAX_BACKOFF_SECONDS, backoff * 2)
                 continue
-            pause = _FIRST_PAUSE
-            state = self._take_page(state, page)
+            backoff = _MIN_BACKOFF_SECONDS
+            state = self._apply_page(state, page)
 
-    def _take_page(self, state: ConfigState, page: LogPage) -> ConfigState:
+    def _apply_page(self, state: ConfigState, page: LogPage) -> ConfigState:
         if any(parse_snapshot(record.data) for record in page.records):
-            self.snapshot_seen_at = time.monotonic()
+            self.snapshot_read_at = time.monotonic()
         newer, verdicts = replay_page(state, page)
         for verdict in verdicts:
             _log_verdict(verdict)
@@ -106,26 +106,26 @@
         return newer
 
     def _follow_hosts(self) -> None:
-        pause = _HOSTS_SECONDS
+        interval = _MIN_HOST_LIST_SECONDS
         while not self._stopping.is_set():
             try:
                 hosts = self._host_list.read()
-                pause = hosts_interval(len(hosts.nodes))
+                interval = host_list_interval(len(hosts.nodes))
                 self._on_hosts(hosts)
             except RudderpassError as error:
                 log("hosts", f"{error.show()}.")
-            self._stopping.wait(pause)
+            self._stopping.wait(interval)
 
-    def _note_outage(self, error: PlatformError, pause: float) -> None:
-        log("config", f"{error.show()}.", retry_in=pause)
-        self._stopping.wait(pause)
+    def _back_off(self, error: PlatformError, backoff: float) -> None:
+        log("config", f"{error.show()}.", retry_in=backoff)
+        self._stopping.wait(backoff)
 
 
 def _log_verdict(verdict: Verdict) -> None:
-    word = "accepted" if verdict.accepted else "refused"
+    result = "accepted" if verdict.accepted else "refused"
     log(
         "config",
-        f"change {verdict.change_id} by {verdict.author} is {word}.",
+        f"change {verdict.change_id} by {verdict.author} is {result}.",
         version=verdict.version,
         objects=[str(key) for key in verdict.keys],
         conflicts=[conflict.show() for conflict in verdict.conflicts],
--- a/src/rudderpass/node/_node.py
+++ b/src/rudderpass/node/_node.py
@@ -1,4 +1,4 @@
-"""One node: all its parts, started and stopped in order."""
+"""One node: creates its components, and starts and stops them in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 from rudderpass.claims import Claimer
 from rudderpass.core import NodeCore, Submission
 from rudderpass.declarations import Catalog
-from rudderpass.gateway import CallerWatch, Gateway, Services, Ticket, answer_bad_http
+from rudderpass.gateway import (
+    DisconnectWatcher,
+    Gateway,
+    PendingRequest,
+    Services,
+    reply_to_bad_request,
+)
 from rudderpass.logservice import HttpHostList, HttpLogService
 from rudderpass.node._admin import AdminApp, NodeStatus, PoolStatus, make_admin_server
 from rudderpass.node._follower import PlatformFollower
@@ -23,44 +29,44 @@
 from rudderpass.webserver import HttpServer
 
 _DRAIN_POLL_SECONDS = 0.05
-_KIBIBYTE = 1024
-_BALANCER_SECONDS = 1.0
-"""How long a stopping node still answers new callers, so that the balancer sees
-that it is not ready before its port closes."""
+_BYTES_PER_KIBIBYTE = 1024
+_UNREADY_GRACE_SECONDS = 1.0
+"""How long a stopping node still accepts new requests, so that the load balancer
+sees it as not ready before its port closes."""
 
 
 class RuntimeAdmission:
-    """The gateway's view of the runtime."""
+    """Implements the gateway's admission interface on the runtime."""
 
     def __init__(self, runtime: NodeRuntime) -> None:
         self._runtime = runtime
 
     @property
     def catalog(self) -> Catalog:
-        """The declared objects in force."""
+        """The catalog of the configuration in force."""
         return self._runtime.core.catalog
 
-    def submit(self, submission: Submission) -> Ticket:
-        """Ask for a slot."""
+    def submit(self, submission: Submission) -> PendingRequest:
+        """Request a slot."""
         return self._runtime.submit(submission)
 
     def finish(self, request_id: RequestId, usage: Usage) -> None:
-        """Give back whatever a request holds."""
+        """Release all that a request holds and record its usage."""
         self._runtime.finish(request_id, usage)
 
-    def note_progress(self, request_id: RequestId, tokens: int) -> None:
-        """Tell how many tokens a running request has brought so far."""
+    def record_progress(self, request_id: RequestId, tokens: int) -> None:
+        """Report the tokens that a running request has produced so far."""
         self._runtime.core.note_progress(request_id, tokens)
 
     def shed_lowest(self, reason: str) -> None:
-        """Refuse the newest waiting request of the lowest tier."""
+        """Shed the newest waiting request of the lowest tier."""
         self._runtime.shed_lowest(reason)
 
 
 class Node:
-    """A whole node.
+    """A node with all its components.
 
-    :param settings: checked settings.
+    :param settings: settings, which are validated here.
 
     .. versionadded:: 0.1
     """
@@ -72,14 +78,14 @@
         self._runtime = NodeRuntime(settings.peer, zone, settings.keys)
         self._relay = Relay()
         log_service = HttpLogService(settings.log_service)
-        self._watch = CallerWatch()
-        self._metrics = NodeMetrics(self._gauges)
-        self._claimer = Claimer(log_service, self._complain)
+        self._disconnects = DisconnectWatcher()
+        self._metrics = NodeMetrics(self._read_gauges)
+        self._claimer = Claimer(log_service, self._log_claim_error)
         budgets: dict[ClassName, RetryBudget] = {}
         services = Services(
             RuntimeAdmission(self._runtime),
             self._relay,
-            self._watch,
+            self._disconnects,
             self._metrics,
             budgets,
             settings.upstream_timeout,
@@ -87,7 +93,7 @@
         )
         self._gateway = Gateway(services, settings.limits.threads)
         self._server = HttpServer(
-            self._gateway, settings.listen, settings.limits, answer_bad_http
+            self._gateway, settings.listen, settings.limits, reply_to_bad_request
         )
         admin = AdminApp(self.status, self._metrics.expose)
         self._admin = make_admin_server(admin, settings.admin)
@@ -95,42 +101,42 @@
             log_service,
             HttpHostList(settings.host_list),
             lambda: self._runtime.core.config,
-            self._runtime.take_config,
-            self._runtime.take_hosts,
+            self._runtime.apply_config,
+            self._runtime.apply_hosts,
         )
         self._snapshots = SnapshotWriter(
             log_service,
             settings.snapshot_seconds,
             lambda: self._runtime.core.config,
-            lambda: self._follower.snapshot_seen_at,
-            self._writes_snapshots,
+            lambda: self._follower.snapshot_read_at,
+            self._is_snapshot_writer,
         )
-        self._cut = threading.Event()
+        self._abort = threading.Event()
 
     @property
     def address(self) -> str:
-        """Where callers reach the node."""
+        """The address on which callers reach the node."""
         return self._server.address
 
     @property
     def admin_address(self) -> str:
-        """Where operators reach the node."""
+        """The address on which operators reach the node."""
         return self._admin.address
 
     @property
     def runtime(self) -> NodeRuntime:
-        """The node's decisions at work."""
+        """The runtime of the node's core."""
         return self._runtime
 
     @property
     def metrics(self) -> NodeMetrics:
-        """The node's counters."""
+        """The node's metrics."""
         return self._metrics
 
     def start(self) -> None:
-        """Start all parts; callers are served once a configuration is in force."""
+        """Start all components; callers are served once a configuration is in force."""
         self._relay.start()
-        self._watch.start()
+        self._disconnects.start()
         self._runtime.start()
         self._admin.start()
         self._follower.start()
@@ -140,7 +146,7 @@
         log("node", f"listening on {self.address}.", node=self._runtime.core.node)
 
     def wait_ready(self, timeout: float) -> bool:
-        """Wait until the node may take callers; tell whether it may."""
+        """Wait until the node is ready to serve callers; return whether it is."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             if self._runtime.core.is_ready:
@@ -149,34 +155,38 @@
         return False
 
     def stop(self) -> int:
-        """Stop in order; return how many requests were cut.
+        """Drain and stop the node; return the number of requests aborted.
 
-        Hands the pools over, refuses new requests, and waits for those in flight
-        for at most the setting ``stop_seconds``.
+        Hands over the pools, refuses new requests, and waits up to the setting
+        ``stop_seconds`` for requests in flight.
         """
         self._runtime.leave()
-        log("node", "stopping, not ready any more.", node=self._runtime.core.node)
-        self._wait_drained(_BALANCER_SECONDS, until_empty=False)
+        log("node", "stopping, reports not ready.", node=self._runtime.core.node)
+        self._wait_drained(_UNREADY_GRACE_SECONDS, until_empty=False)
         self._server.stop_accepting()
         self._wait_drained(self._settings.stop_seconds, until_empty=True)
-        cut = self._gateway.active
-        if cut:
-            log("node", f"cut {cut} requests in flight.", node=self._runtime.core.node)
+        aborted = self._gateway.active
+        if aborted:
+            log(
+                "node",
+                f"aborted {aborted} requests in flight.",
+                node=self._runtime.core.node,
+            )
         self.kill()
-        return cut
+        return aborted
 
-    def cut_short(self) -> int:
-        """Make a running :meth:`stop` end now; return what that will cut."""
+    def abort_drain(self) -> int:
+        """End a running :meth:`stop` now; return how many requests that aborts."""
         active = self._gateway.active
-        self._cut.set()
+        self._abort.set()
         return active
 
     def kill(self) -> None:
-        """Close everything at once, as a crash would."""
+        """Close everything immediately, without draining, as a crash would."""
         self._follower.close()
         self._claimer.close()
         self._snapshots.close()
-        self._watch.close()
+        self._disconnects.close()
         self._runtime.close()
         self._server.close()
         self._admin.close()
@@ -188,16 +198,16 @@
         assert isinstance(status, NodeStatus)
         return status
 
-    def _writes_snapshots(self) -> bool:
+    def _is_snapshot_writer(self) -> bool:
         core = self._runtime.core
         return core.view.owner_of(SNAPSHOT_KEY) == core.node
 
-    def _complain(self, text: str) -> None:
+    def _log_claim_error(self, text: str) -> None:
         log("claims", f"{text}.", node=self._runtime.core.node)
 
     def _wait_drained(self, seconds: float, until_empty: bool) -> None:
         deadline = time.monotonic() + seconds
-        while time.monotonic() < deadline and not self._cut.is_set():
+        while time.monotonic() < deadline and not self._abort.is_set():
             if until_empty and self._gateway.active == 0:
                 return
             time.sleep(_DRAIN_POLL_SECONDS)
@@ -225,10 +235,10 @@
             peer_bytes=counters.payload_bytes,
             peer_failures=counters.failures,
             cpu_seconds=time.process_time(),
-            peak_memory_bytes=usage.ru_maxrss * _KIBIBYTE,
+            peak_memory_bytes=usage.ru_maxrss * _BYTES_PER_KIBIBYTE,
         )
 
-    def _gauges(self) -> Gauges:
+    def _read_gauges(self) -> Gauges:
         status = self.status()
         return Gauges(
             status.waiting,
--- a/src/rudderpass/node/_runtime.py
+++ b/src/rudderpass/node/_runtime.py
@@ -1,5 +1,5 @@
-"""Runs a node's core: turns calls, messages and timers into events and carries the
-actions out."""
+"""Runs a node's core: passes calls, messages and timer ticks to it, and executes the
+actions that it returns."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     Submission,
 )
 from rudderpass.declarations import ConfigState
-from rudderpass.gateway import Decision, Ticket
+from rudderpass.gateway import Decision, PendingRequest
 from rudderpass.logservice import HostList
 from rudderpass.observe import log, log_action
 from rudderpass.peers import KeySource, PeerLinks, PeerServer
@@ -33,24 +33,24 @@
 
 
 class NodeRuntime:
-    """A node's core with its links to peers and its clock.
+    """A node's core with its links to peers and its timer.
 
     :param address: this node's peer address, which is also its id.
     :param zone: this host's availability zone.
-    :param keys: the deployment's secrets.
+    :param keys: keys that authenticate messages between peers.
 
     .. versionadded:: 0.1
     """
 
     def __init__(self, address: str, zone: AvailabilityZone, keys: KeySource) -> None:
         incarnation = time.time_ns() // 1_000_000
-        self._server = PeerServer(address, keys, self._receive, self._complain)
+        self._server = PeerServer(address, keys, self._receive, self._log_peer_error)
         node = self._server.node
         self._lock = threading.RLock()
         self._core = NodeCore(node, zone, incarnation % (1 << 38), random.Random())
-        self._tickets: dict[RequestId, Ticket] = {}
+        self._pending: dict[RequestId, PendingRequest] = {}
         self._links = PeerLinks(
-            node, incarnation, keys, self._server.datagrams, self._note_call
+            node, incarnation, keys, self._server.datagrams, self._record_call
         )
         self._stopping = threading.Event()
         self._ticker = threading.Thread(target=self._tick, name="tick", daemon=True)
@@ -58,7 +58,7 @@
 
     @property
     def core(self) -> NodeCore:
-        """The node's decisions; read under :meth:`locked` when consistency counts."""
+        """The core; use :meth:`locked` for a consistent read of several values."""
         return self._core
 
     @property
@@ -67,59 +67,59 @@
         return self._links
 
     def start(self) -> None:
-        """Listen to peers and start the clock."""
+        """Start to listen to peers, and start the timer."""
         self._server.start()
         self._ticker.start()
 
     def close(self) -> None:
-        """Stop the clock and the links."""
+        """Stop the timer and close the links."""
         self._stopping.set()
         self._links.close()
         self._server.close()
 
     def locked(self, read: Callable[[NodeCore], object]) -> object:
-        """Return what ``read`` finds while nothing changes."""
+        """Return the result of ``read``, called with the core locked."""
         with self._lock:
             return read(self._core)
 
-    def submit(self, submission: Submission) -> Ticket:
-        """Ask for a slot; the ticket tells what was decided."""
-        ticket = Ticket(submission.request_id)
+    def submit(self, submission: Submission) -> PendingRequest:
+        """Request a slot; the returned object's future completes with the decision."""
+        pending = PendingRequest(submission.request_id)
         with self._lock:
-            self._tickets[submission.request_id] = ticket
-            self._carry_out(self._core.submit(submission, time.monotonic()))
-        return ticket
+            self._pending[submission.request_id] = pending
+            self._execute_all(self._core.submit(submission, time.monotonic()))
+        return pending
 
     def finish(self, request_id: RequestId, usage: Usage) -> None:
-        """Give back whatever a request holds."""
+        """Release all that a request holds and record its usage."""
         with self._lock:
-            self._tickets.pop(request_id, None)
-            self._carry_out(self._core.finish(request_id, usage, time.monotonic()))
+            self._pending.pop(request_id, None)
+            self._execute_all(self._core.finish(request_id, usage, time.monotonic()))
 
     def shed_lowest(self, reason: str) -> None:
-        """Refuse this node's newest waiting request of the lowest tier."""
+        """Shed this node's newest waiting request of the lowest tier."""
         with self._lock:
-            self._carry_out(self._core.shed_lowest(reason, time.monotonic()))
+            self._execute_all(self._core.shed_lowest(reason, time.monotonic()))
 
-    def take_config(self, state: ConfigState, source: str) -> None:
-        """Put a configuration in force unless a newer one is."""
+    def apply_config(self, state: ConfigState, source: str) -> None:
+        """Apply a configuration, unless a newer one is in force."""
         with self._lock:
-            self._carry_out(self._core.take_config(state, source, time.monotonic()))
-            self._apply_leaving()
+            self._execute_all(self._core.take_config(state, source, time.monotonic()))
+            self._apply_leaving_upstreams()
 
-    def take_hosts(self, hosts: HostList) -> None:
-        """Take the platform's host list."""
+    def apply_hosts(self, hosts: HostList) -> None:
+        """Apply the platform's host list."""
         with self._lock:
             self._hosts = hosts
-            self._carry_out(self._core.take_hosts(hosts.nodes, time.monotonic()))
-            self._apply_leaving()
+            self._execute_all(self._core.take_hosts(hosts.nodes, time.monotonic()))
+            self._apply_leaving_upstreams()
 
     def leave(self) -> None:
-        """Hand the pools over and tell the peers."""
+        """Hand over the pools and announce the departure to the peers."""
         with self._lock:
-            self._carry_out(self._core.leave(time.monotonic()))
+            self._execute_all(self._core.leave(time.monotonic()))
 
-    def _apply_leaving(self) -> None:
+    def _apply_leaving_upstreams(self) -> None:
         addresses = set(self._hosts.leaving)
         leaving = [
             UpstreamId(name)
@@ -127,55 +127,55 @@
             if spec.address in addresses
         ]
         now = time.monotonic()
-        self._carry_out(self._core.take_leaving_upstreams(leaving, now))
+        self._execute_all(self._core.take_leaving_upstreams(leaving, now))
 
     def _receive(self, sender: NodeId, messages: Sequence[PeerMessage]) -> None:
         with self._lock:
             now = time.monotonic()
             for message in messages:
-                self._carry_out(self._core.receive(sender, message, now))
+                self._execute_all(self._core.receive(sender, message, now))
 
-    def _note_call(self, peer: NodeId, succeeded: bool) -> None:
+    def _record_call(self, peer: NodeId, succeeded: bool) -> None:
         with self._lock:
             now = time.monotonic()
             if succeeded:
-                self._carry_out(self._core.note_reachable(peer, now))
+                self._execute_all(self._core.note_reachable(peer, now))
             else:
-                self._carry_out(self._core.note_unreachable(peer, now))
+                self._execute_all(self._core.note_unreachable(peer, now))
 
-    def _complain(self, text: str) -> None:
+    def _log_peer_error(self, text: str) -> None:
         log("peer", f"{text}.", node=self._core.node)
 
     def _tick(self) -> None:
         while not self._stopping.wait(TICK_SECONDS):
             with self._lock:
-                self._carry_out(self._core.tick(time.monotonic()))
+                self._execute_all(self._core.tick(time.monotonic()))
 
-    def _carry_out(self, actions: Sequence[CoreAction]) -> None:
+    def _execute_all(self, actions: Sequence[CoreAction]) -> None:
         for action in actions:
             log_action(action, self._core.node)
-            self._do(action)
+            self._execute(action)
 
     @singledispatchmethod
-    def _do(self, action: CoreAction) -> None:
-        """Carry out one action; those that are only logged need nothing more."""
+    def _execute(self, action: CoreAction) -> None:
+        """Execute one action; by default it is only logged."""
 
-    @_do.register
+    @_execute.register
     def _(self, action: SendPeer) -> None:
         self._links.send(action.peer, action.message, action.reliable)
 
-    @_do.register
+    @_execute.register
     def _(self, action: Admitted) -> None:
-        ticket = self._tickets.get(action.request_id)
-        if ticket is not None:
-            ticket.admitted = action
+        pending = self._pending.get(action.request_id)
+        if pending is not None:
+            pending.admitted = action
 
-    @_do.register(Granted)
-    @_do.register(Refused)
-    @_do.register(Rejected)
+    @_execute.register(Granted)
+    @_execute.register(Refused)
+    @_execute.register(Rejected)
     def _(self, action: Decision) -> None:
-        ticket = self._tickets.pop(action.request_id, None)
-        if ticket is None:
+        pending = self._pending.pop(action.request_id, None)
+        if pending is None:
             return
         with contextlib.suppress(InvalidStateError):
-            ticket.future.set_result(action)
+            pending.future.set_result(action)
--- a/src/rudderpass/node/_settings.py
+++ b/src/rudderpass/node/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node, checked at start."""
+"""Settings of one node, validated at start."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """All that a node is told at its start.
+    """Settings of a node.
 
     :param listen: ``ip:port`` for callers.
     :param admin: ``ip:port`` for liveness, readiness, metrics and status.
     :param peer: ``ip:port`` for other nodes; also the node's id.
-    :param zone: the availability zone that this host stands in.
+    :param zone: the availability zone of this host.
     :param log_service: ``ip:port`` of the platform's log service.
     :param host_list: ``ip:port`` of the platform's host list.
-    :param stop_seconds: the longest that a planned stop waits for streams.
-    :param snapshot_seconds: how old the newest snapshot in the log may be.
+    :param stop_seconds: how long a planned stop waits at most for requests in flight.
+    :param snapshot_seconds: maximum age of the newest snapshot in the log.
 
     .. versionadded:: 0.1
     """
@@ -42,47 +42,47 @@
     snapshot_seconds: float = 3600.0
 
     def check(self) -> None:
-        """Check every value.
+        """Validate every setting.
 
-        :raises SettingsError: naming the first bad setting.
+        :raises SettingsError: naming the first invalid setting.
         """
         for name in ("listen", "admin", "peer", "log_service", "host_list"):
             check_address(name, getattr(self, name))
         if not self.zone:
-            raise _bad("zone", "is empty")
+            raise _invalid("zone", "must not be empty")
         if self.limits.threads < MIN_THREADS:
-            raise _bad("threads", f"is below {MIN_THREADS}")
+            raise _invalid("threads", f"must be at least {MIN_THREADS}")
         for name in ("upstream_timeout", "stop_seconds", "snapshot_seconds"):
             if getattr(self, name) <= 0:
-                raise _bad(name, "is not above 0")
+                raise _invalid(name, "must be greater than 0")
 
 
-def _bad(name: str, why: str) -> SettingsError:
+def _invalid(name: str, reason: str) -> SettingsError:
     flag = "--" + name.replace("_", "-")
-    return SettingsError(f"setting {flag} {why}", step="settings")
+    return SettingsError(f"setting {flag} {reason}", step="settings")
 
 
 def check_address(name: str, value: str) -> None:
-    """Check an ``ip:port`` setting.
+    """Validate an ``ip:port`` setting.
 
-    :raises SettingsError: naming the setting.
+    :raises SettingsError: naming the setting, if it is invalid.
     """
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise _bad(name, f"is {value!r}, not ip:port") from None
+        raise _invalid(name, f"is {value!r}, not ip:port") from None
     if not port.isdigit() or int(port) > 65535:
-        raise _bad(name, f"is {value!r}, which has no valid port")
+        raise _invalid(name, f"is {value!r}, which has no valid port")
 
 
 def read_keys(secret: str | None, file: Path | None) -> KeySource:
     """Return the peer keys from a value or a file; exactly one must be given.
 
-    :raises SettingsError: when neither or both are given, or they are bad.
+    :raises SettingsError: if neither or both are given, or the keys are invalid.
     """
     if (secret is None) == (file is None):
-        raise _bad("peer_secret", "or --peer-secret-file must be given, not both")
+        raise _invalid("peer_secret", "or --peer-secret-file must be given, not both")
     if file is None:
         assert secret is not None
         parts = tuple(part.encode() for part in secret.split(",") if part)
@@ -90,4 +90,6 @@
     try:
         return PeerKeyFile(file)
     except OSError as error:
-        raise _bad("peer_secret_file", f"cannot be read: {error.strerror}") from error
+        raise _invalid(
+            "peer_secret_file", f"cannot be read: {error.strerror}"
+        ) from error
--- a/src/rudderpass/node/_snapshots.py
+++ b/src/rudderpass/node/_snapshots.py
@@ -1,4 +1,4 @@
-"""Writes the configuration again before the log forgets the records it came from."""
+"""Writes configuration snapshots before the log drops the records they replace."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class SnapshotWriter:
-    """Writes a snapshot when none was seen for a while and this node is to do it.
+    """Writes a snapshot if none was read for an interval and this node is the writer.
 
-    Two nodes with different views may both write one, which is harmless.
+    Two nodes with different membership views may both write one, which is harmless.
 
     :param interval: seconds without a snapshot after which one is written.
-    :param seen_at: returns when the newest was seen, on the monotonic clock.
-    :param is_mine: tells whether this node is to write it.
+    :param read_at: returns when the newest was read, on the monotonic clock.
+    :param is_writer: returns whether this node writes the snapshots.
 
     .. versionadded:: 0.1
     """
@@ -33,40 +33,40 @@
         log_service: LogService,
         interval: float,
         current: Callable[[], ConfigState],
-        seen_at: Callable[[], float],
-        is_mine: Callable[[], bool],
+        read_at: Callable[[], float],
+        is_writer: Callable[[], bool],
     ) -> None:
         self._log_service = log_service
         self._interval = interval
         self._current = current
-        self._seen_at = seen_at
-        self._is_mine = is_mine
+        self._read_at = read_at
+        self._is_writer = is_writer
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="snapshots", daemon=True)
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the writer's thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop watching."""
+        """Stop the writer's thread."""
         self._stopping.set()
 
     def write_if_due(self, now: float) -> bool:
-        """Write a snapshot if it is due; tell whether one was written."""
+        """Write a snapshot if one is due; return whether one was written."""
         state = self._current()
-        if now - self._seen_at() < self._interval or state.version == 0:
+        if now - self._read_at() < self._interval or state.version == 0:
             return False
-        if not self._is_mine():
+        if not self._is_writer():
             return False
         data = dump_record(take_snapshot(state))
         result = self._log_service.append(CONFIG_STREAM, data)
         written = isinstance(result, Appended)
-        word = "written" if written else "not written"
-        log("config", f"snapshot of version {state.version} {word}.")
+        result_text = "written" if written else "not written"
+        log("config", f"snapshot of version {state.version} {result_text}.")
         return written
 
     def _run(self) -> None:
-        pause = min(_CHECK_SECONDS, self._interval)
-        while not self._stopping.wait(pause):
+        poll_interval = min(_CHECK_SECONDS, self._interval)
+        while not self._stopping.wait(poll_interval):
             self.write_if_due(time.monotonic())
--- a/src/rudderpass/replay/_attempts.py
+++ b/src/rudderpass/replay/_attempts.py
@@ -10,7 +10,13 @@
 from rudderpass.replay._engine import EngineWork, WorkEnd
 from rudderpass.replay._virtual import Caller, Ground, VirtualNode
 from rudderpass.routing import Ending, Usage
-from rudderpass.streams import NextStep, Outcome, decide_next, note_failure, outcome_of
+from rudderpass.streams import (
+    NextStep,
+    Outcome,
+    decide_next,
+    outcome_of,
+    record_failure,
+)
 from rudderpass.upstreams import CONNECT_TIMEOUT
 
 _DESK_SECONDS = 0.3
@@ -133,7 +139,7 @@
             caller.add_produced(produced)
         else:
             caller.wasted += produced
-        caller.state = note_failure(caller.state, error)
+        caller.state = record_failure(caller.state, error)
         caller.count_attempt()
         caller.excluded = (*caller.excluded, granted.upstream)
         name = ClassName(caller.arrival.service_class)
--- a/src/rudderpass/streams/__init__.py
+++ b/src/rudderpass/streams/__init__.py
@@ -1,14 +1,14 @@
-"""Streams: attempts, outcomes, and the relay from upstream to caller."""
+"""Retry decisions, outcomes, and the relay of event streams to callers."""
 
 from rudderpass.streams._chunks import (
     ChunkDecoder as ChunkDecoder,
     ChunkError as ChunkError,
 )
 from rudderpass.streams._relay import (
-    CallerSide as CallerSide,
     Relay as Relay,
     StreamEnd as StreamEnd,
     StreamResult as StreamResult,
+    StreamSink as StreamSink,
 )
 from rudderpass.streams._retry import (
     AttemptState as AttemptState,
@@ -16,6 +16,6 @@
     Outcome as Outcome,
     RetryBudget as RetryBudget,
     decide_next as decide_next,
-    note_failure as note_failure,
     outcome_of as outcome_of,
+    record_failure as record_failure,
 )
--- a/src/rudderpass/streams/_chunks.py
+++ b/src/rudderpass/streams/_chunks.py
@@ -1,20 +1,20 @@
-"""Undo HTTP/1.1 chunked framing of a stream that arrives in arbitrary pieces.
+"""Incremental decoder for HTTP/1.1 chunked transfer coding.
 
-``http.client`` reads the request line and headers, but its chunk reader blocks in
-the middle of a frame, and the relay serves all streams from one thread. Only the
-framing of RFC 9112, section 7.1, stands here; see docs/design/streaming.md.
+``http.client`` reads the status line and headers, but its chunk reader blocks in
+the middle of a chunk, and the relay serves all streams from one thread. Only the
+framing of RFC 9112, section 7.1, is implemented; see docs/design/streaming.md.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-_MAX_SIZE_LINE = 256
-_MAX_TRAILER = 8192
+_MAX_SIZE_LINE_BYTES = 256
+_MAX_TRAILER_LINE_BYTES = 8192
 
 
 class ChunkError(ValueError):
-    """The bytes are not chunked framing."""
+    """The chunked framing or an event in the stream is invalid."""
 
 
 class _State(Enum):
@@ -26,7 +26,7 @@
 
 
 class ChunkDecoder:
-    """Turns pieces of a chunked body into its content.
+    """Decodes a chunked body that arrives in pieces of any size.
 
     .. versionadded:: 0.1
     """
@@ -34,58 +34,62 @@
     def __init__(self) -> None:
         self._buffer = b""
         self._state = _State.SIZE
-        self._left = 0
+        self._remaining = 0
 
     @property
     def is_done(self) -> bool:
-        """Whether the last chunk and its trailer have arrived."""
+        """Whether the last chunk and the trailer section have arrived."""
         return self._state is _State.DONE
 
     def feed(self, data: bytes) -> bytes:
-        """Return the content that ``data`` completes.
+        """Decode ``data``; return the content received so far and not yet returned.
 
-        :raises ChunkError: when the framing is broken.
+        :raises ChunkError: when the framing is invalid.
         """
         buffer = self._buffer + data if self._buffer else data
         position = 0
         content: list[bytes] = []
         while position < len(buffer) and self._state is not _State.DONE:
             if self._state is _State.DATA:
-                piece = buffer[position : position + self._left]
+                piece = buffer[position : position + self._remaining]
                 content.append(piece)
                 position += len(piece)
-                self._left -= len(piece)
-                if self._left == 0:
+                self._remaining -= len(piece)
+                if self._remaining == 0:
                     self._state = _State.DATA_END
                 continue
             end = buffer.find(b"\r\n", position)
             if end < 0:
                 self._check_length(len(buffer) - position)
                 break
-            self._take_line(buffer[position:end])
+            self._process_line(buffer[position:end])
             position = end + 2
         self._buffer = buffer[position:]
         return content[0] if len(content) == 1 else b"".join(content)
 
-    def _take_line(self, line: bytes) -> None:
+    def _process_line(self, line: bytes) -> None:
         if self._state is _State.DATA_END:
             if line:
-                raise ChunkError("no line end after a chunk")
+                raise ChunkError("chunk data is not followed by CRLF")
             self._state = _State.SIZE
         elif self._state is _State.SIZE:
-            self._left = _parse_size(line)
-            self._state = _State.DATA if self._left else _State.TRAILER
+            self._remaining = _parse_size(line)
+            self._state = _State.DATA if self._remaining else _State.TRAILER
         elif not line:
             self._state = _State.DONE
 
     def _check_length(self, length: int) -> None:
-        limit = _MAX_TRAILER if self._state is _State.TRAILER else _MAX_SIZE_LINE
+        limit = (
+            _MAX_TRAILER_LINE_BYTES
+            if self._state is _State.TRAILER
+            else _MAX_SIZE_LINE_BYTES
+        )
         if length > limit:
-            raise ChunkError("line too long")
+            raise ChunkError("chunk size or trailer line exceeds the length limit")
 
 
 def _parse_size(line: bytes) -> int:
     digits = line.split(b";", 1)[0].strip()
     if not digits or digits.strip(b"0123456789abcdefABCDEF"):
-        raise ChunkError(f"{digits[:16]!r} is not a chunk size")
+        raise ChunkError(f"invalid chunk size {digits[:16]!r}")
     return int(digits, 16)
--- a/src/rudderpass/streams/_retry.py
+++ b/src/rudderpass/streams/_retry.py
@@ -1,4 +1,4 @@
-"""What an answer says of the work, and what to do when an attempt fails."""
+"""Outcomes reported to callers, and the retry policy for failed attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Outcome(Enum):
-    """What a caller is told of its request."""
+    """Whether the request was executed, as reported to the caller."""
 
     COMPLETED = "completed"
     NOT_RUN = "not-run"
@@ -17,7 +17,7 @@
 
 
 class NextStep(Enum):
-    """What follows a failed attempt."""
+    """What to do after a failed attempt."""
 
     RETRY = "retry"
     RESUME = "resume"
@@ -25,18 +25,18 @@
 
 
 MAX_ATTEMPTS = 4
-"""Attempts at a request whose route says nothing of them."""
+"""Limit for requests whose route sets none."""
 
 
 @dataclass(frozen=True)
 class AttemptState:
-    """All attempts at one request so far.
+    """State accumulated over all attempts at one request.
 
-    :param repeatable: whether the route allows the work to run twice.
-    :param may_have_run: whether any earlier attempt may have run.
-    :param produced: tokens already passed on to the caller.
-    :param attempts: attempts begun.
-    :param max_attempts: the most attempts that may be begun.
+    :param repeatable: whether the route allows the request to be executed twice.
+    :param may_have_run: whether any earlier attempt may have been executed.
+    :param produced: tokens already sent to the caller.
+    :param attempts: attempts started.
+    :param max_attempts: limit on attempts started.
     """
 
     repeatable: bool
@@ -49,55 +49,55 @@
 def decide_next(
     state: AttemptState, error: UpstreamError, within_budget: bool
 ) -> NextStep:
-    """Decide what follows a failed attempt.
+    """Decide whether to retry, resume or give up after a failed attempt.
 
-    An attempt of which no byte left, or that the upstream refused, did not run, so
-    even work that may not be repeated goes on. All else is repeated only where the
-    route allows it.
+    An attempt of which no byte was sent, or that the upstream refused, was not
+    executed, so it is retried even on a non-repeatable route. Any other failure is
+    retried only where the route allows repetition.
     """
     if state.attempts >= state.max_attempts or not within_budget:
         return NextStep.GIVE_UP
-    did_not_run = not error.sent or error.refused
-    if not did_not_run and not state.repeatable:
+    was_not_run = not error.sent or error.refused
+    if not was_not_run and not state.repeatable:
         return NextStep.GIVE_UP
     if state.produced:
         return NextStep.RESUME
     return NextStep.RETRY
 
 
-def note_failure(state: AttemptState, error: UpstreamError) -> AttemptState:
-    """Return the state after a failed attempt."""
-    ran = error.sent and not error.refused
-    return replace(state, may_have_run=state.may_have_run or ran)
+def record_failure(state: AttemptState, error: UpstreamError) -> AttemptState:
+    """Return the state with a failed attempt taken into account."""
+    may_have_executed = error.sent and not error.refused
+    return replace(state, may_have_run=state.may_have_run or may_have_executed)
 
 
 def outcome_of(state: AttemptState) -> Outcome:
-    """Return what to tell the caller when giving up."""
+    """Return the outcome to report to the caller when giving up."""
     return Outcome.UNKNOWN if state.may_have_run else Outcome.NOT_RUN
 
 
 class RetryBudget:
-    """Retries of one class on one node, as a share of its requests.
+    """Token bucket that limits retries to a share of one class's requests on a node.
 
-    Each request earns ``ratio`` of a retry, so that retries can never add more
-    than that share to an overload.
+    Each request earns ``ratio`` of a retry, so retries add at most that share to
+    the load of an overloaded system.
 
-    :param reserve: retries that may be saved up.
+    :param reserve: capacity of the bucket, in retries.
 
     .. versionadded:: 0.1
     """
 
     def __init__(self, reserve: float = 10.0) -> None:
         self._reserve = reserve
-        self._level = reserve
+        self._balance = reserve
 
     def earn(self, ratio: float) -> None:
-        """Count one request."""
-        self._level = min(self._reserve, self._level + ratio)
+        """Credit ``ratio`` retries for one request."""
+        self._balance = min(self._reserve, self._balance + ratio)
 
     def spend(self) -> bool:
-        """Take one retry, if there is one."""
-        if self._level < 1.0:
+        """Consume one retry; return False if none is left."""
+        if self._balance < 1.0:
             return False
-        self._level -= 1.0
+        self._balance -= 1.0
         return True
--- a/src/rudderpass/webserver/__init__.py
+++ b/src/rudderpass/webserver/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP server in front of every WSGI application of the project."""
+"""The HTTP server that runs every WSGI application of the project."""
 
 from rudderpass.webserver._server import (
     CONNECTION_KEY as CONNECTION_KEY,
--- a/src/rudderpass/webserver/_dispatcher.py
+++ b/src/rudderpass/webserver/_dispatcher.py
@@ -7,22 +7,22 @@
 
 
 class ServerTask(Protocol):
-    """What waitress hands over: one connection with a request to serve."""
+    """A unit of work from waitress: one connection with a request to serve."""
 
     def service(self) -> None:
         """Serve the request."""
 
     def cancel(self) -> None:
-        """Give the request up."""
+        """Discard the request."""
 
 
 class ExecutorDispatcher:
-    """Waitress's task dispatcher, over :mod:`concurrent.futures`.
+    """Task dispatcher for waitress, based on :mod:`concurrent.futures`.
 
-    Waitress's own dispatcher starts all its threads at once; a host that is sized
-    for a burst would hold hundreds of idle threads all day.
+    Waitress's own dispatcher starts all its threads up front, so a host sized for
+    bursts would keep hundreds of idle threads.
 
-    :param threads: the most tasks that run at once.
+    :param threads: limit on tasks that run concurrently.
 
     .. versionadded:: 0.2
     """
@@ -31,13 +31,13 @@
         self._executor = ThreadPoolExecutor(threads, thread_name_prefix="http")
 
     def set_thread_count(self, count: int) -> None:
-        """Do nothing: the executor sizes itself."""
+        """Do nothing; the executor manages its own threads."""
 
     def add_task(self, task: ServerTask) -> None:
-        """Serve ``task`` as soon as a thread is free."""
+        """Queue ``task`` until a thread is free."""
         self._executor.submit(task.service)
 
     def shutdown(self, cancel_pending: bool = True, timeout: float = 0.0) -> bool:
-        """Take no new task; running ones end by themselves."""
+        """Accept no new tasks; running tasks complete on their own."""
         self._executor.shutdown(wait=False, cancel_futures=cancel_pending)
         return True
--- a/src/rudderpass/webserver/_server.py
+++ b/src/rudderpass/webserver/_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: waitress, with errors in our shape and a look at what waits."""
+"""The HTTP server: waitress with custom error replies and disconnect detection."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from rudderpass.webserver._dispatcher import ExecutorDispatcher
 
 PENDING_KEY = "rudderpass.pending"
-"""The WSGI environment's key for a callable: bytes the caller has not taken."""
+"""WSGI environment key of a callable that returns the unsent response bytes."""
 
 GONE_KEY = "waitress.client_disconnected"
-"""Waitress's own key for a callable: whether the caller closed its connection."""
+"""Waitress's environment key of a callable: whether the caller disconnected."""
 
 CONNECTION_KEY = "rudderpass.connection"
-"""The WSGI environment's key for the request's :class:`CallerConnection`."""
+"""WSGI environment key of the request's :class:`CallerConnection`."""
 
 WsgiApp = Callable[..., Iterable[bytes]]
 
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """What one caller may ask of the server.
+    """Resource limits of a server.
 
-    :param threads: requests that may wait or run at once, plus headroom.
-    :param idle_seconds: after which a silent connection is closed.
+    :param threads: limit on requests that wait or run at once, plus headroom.
+    :param idle_seconds: idle time after which a connection is closed.
     """
 
     threads: int = 384
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ErrorReply:
-    """What a caller gets whose bytes never reach the application."""
+    """Reply to a request that is rejected before it reaches the application."""
 
     status: HTTPStatus
     headers: tuple[tuple[str, str], ...]
@@ -56,20 +56,20 @@
 
 
 def plain_error(status: HTTPStatus, reason: str) -> ErrorReply:
-    """Answer with the reason as text."""
+    """Return a reply with the reason as plain text."""
     headers = (("Content-Type", "text/plain; charset=utf-8"),)
     return ErrorReply(status, headers, f"{reason}\n".encode())
 
 
 def never_gone() -> bool:
-    """Stand in for a server that cannot tell whether the caller left."""
+    """Fallback for servers that cannot detect disconnected callers."""
     return False
 
 
 def convert_disconnect(
     write: Callable[[bytes], object],
 ) -> Callable[[bytes], object]:
-    """Return ``write`` with waitress's own error turned into :class:`CallerGone`."""
+    """Wrap ``write`` to raise :class:`CallerGone` for waitress's own error."""
 
     def write_or_raise(data: bytes) -> None:
         try:
@@ -81,7 +81,7 @@
 
 
 class CallerConnection:
-    """The connection that one request came on.
+    """The connection on which a request arrived.
 
     .. versionadded:: 0.2
     """
@@ -95,12 +95,15 @@
         """Whether the caller closed the connection."""
         return not self._channel.connected
 
-    def close_after_answer(self) -> None:
-        """Close the connection behind this answer; say so if the head is not out."""
+    def close_after_response(self) -> None:
+        """Close the connection after this response.
+
+        Adds a ``Connection: close`` header unless the headers were already sent.
+        """
         self._task.set_close_on_finish()
 
     def watch(self, on_gone: Callable[[], None] | None) -> None:
-        """Call ``on_gone`` once the caller closes; None ends the watch."""
+        """Call ``on_gone`` once the caller disconnects; None removes the callback."""
         self._channel.on_gone = on_gone
         if on_gone is not None and self.is_gone:
             on_gone()
@@ -116,7 +119,7 @@
 
 
 class _ErrorTask(ErrorTask):  # type: ignore[misc]
-    """Answers what is not HTTP, or too large, before it reaches the application."""
+    """Replies to malformed or oversized requests, which the application never sees."""
 
     def execute(self) -> None:
         error = self.request.error
@@ -143,12 +146,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being read or served."""
+        """Whether no request is being received or served."""
         return not self.requests and self.request is None
 
 
-def _where(address: str, listener: socket.socket | None) -> dict[str, Any]:
-    """Return waitress's settings for an address or for a socket that listens."""
+def _listen_settings(address: str, listener: socket.socket | None) -> dict[str, Any]:
+    """Return waitress's settings for an address or a listening socket."""
     if listener is not None:
         return {"sockets": [listener]}
     host, _, port = address.rpartition(":")
@@ -156,11 +159,11 @@
 
 
 class HttpServer:
-    """Serves a WSGI application on one address from a thread of its own.
+    """Serves a WSGI application on one address, with its own event loop thread.
 
-    :param address: ``ip:port``; port 0 takes a free one.
-    :param error_responder: answers what never reaches the application.
-    :param listener: a socket that listens already; ``address`` is not opened then.
+    :param address: ``ip:port``; port 0 selects a free port.
+    :param error_responder: builds replies to malformed or oversized requests.
+    :param listener: a listening socket to use instead of opening ``address``.
 
     .. versionadded:: 0.1
     """
@@ -173,12 +176,12 @@
         error_responder: ErrorResponder = plain_error,
         listener: socket.socket | None = None,
     ) -> None:
-        self._map: dict[int, Any] = {}
+        self._socket_map: dict[int, Any] = {}
         self._server = waitress.server.create_server(
             app,
-            map=self._map,
+            map=self._socket_map,
             _dispatcher=ExecutorDispatcher(limits.threads),
-            **_where(address, listener),
+            **_listen_settings(address, listener),
             threads=limits.threads,
             connection_limit=limits.connections,
             max_request_header_size=limits.header_bytes,
@@ -204,38 +207,38 @@
         return f"{self._server.effective_host}:{self._server.effective_port}"
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Start to accept connections."""
         self._thread.start()
 
     def set_limits(self, header_bytes: int, body_bytes: int, idle_seconds: int) -> None:
-        """Change what a caller may send, and how long a connection may rest."""
+        """Change the size limits of requests and the idle timeout of connections."""
         settings = self._server.adj
         settings.max_request_header_size = header_bytes
         settings.max_request_body_size = body_bytes
         settings.channel_timeout = idle_seconds
 
     def close_idle(self) -> None:
-        """Close connections on which no request is being read or served."""
-        self._in_loop(self._close_idle)
+        """Close connections on which no request is being received or served."""
+        self._run_in_loop(self._close_idle)
 
     def stop_accepting(self) -> None:
-        """Refuse new connections; those that are open go on."""
-        self._in_loop(self._close_listener)
+        """Refuse new connections; open connections are kept."""
+        self._run_in_loop(self._close_listener)
 
     def close(self) -> None:
-        """Close everything now."""
-        self._in_loop(self._close_all)
+        """Close all connections and stop the server immediately."""
+        self._run_in_loop(self._close_all)
         self._thread.join(timeout=2.0)
         self._server.task_dispatcher.shutdown(cancel_pending=True, timeout=0.1)
 
-    def _in_loop(self, action: Callable[[], None]) -> None:
-        """Run ``action`` in the server's own thread, which owns the sockets."""
+    def _run_in_loop(self, action: Callable[[], None]) -> None:
+        """Run ``action`` on the event loop thread, which owns the sockets."""
         if self._closed:
             return
         try:
             self._server.trigger.pull_trigger(action)
         except OSError:
-            # The loop may be awake and close everything before it is woken.
+            # An awake loop may run the action and close its trigger before this write.
             if not self._closed:
                 raise
 
@@ -253,7 +256,7 @@
 
     def _close_all(self) -> None:
         self._closed = True
-        for channel in list(self._map.values()):
+        for channel in list(self._socket_map.values()):
             if channel is not self._server or self._server.accepting:
                 channel.close()
-        self._map.clear()
+        self._socket_map.clear()
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""One node over real sockets, with two engines and a desk of our own."""
+"""A node on real sockets, with stand-ins for two engines, a desk and the platform."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class Reply:
-    """One answer, read to its end."""
+    """One complete response."""
 
     status: int
     headers: dict[str, str]
@@ -51,8 +51,8 @@
 
 
 @dataclass
-class Bench:
-    """The node and all that stands around it."""
+class Harness:
+    """The node under test and the stand-ins around it."""
 
     node: Node
     engines: list[StandInEngine]
@@ -68,7 +68,7 @@
         method: str = "POST",
         **headers: str,
     ) -> Reply:
-        """Send one request; header names are given with underscores."""
+        """Send one request; underscores in header names become hyphens."""
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         sent = {"Authorization": f"Bearer {TOKEN}", "Content-Type": "application/json"}
         for name, value in headers.items():
@@ -80,15 +80,15 @@
         connection.close()
         return reply
 
-    def raw(self, data: bytes, finish: bool = False) -> bytes:
-        """Send raw bytes and return all that comes back."""
+    def send_raw(self, data: bytes, finish: bool = False) -> bytes:
+        """Send raw bytes; return all bytes received until the node closes."""
         host, _, port = self.node.address.rpartition(":")
-        with socket.create_connection((host, int(port)), timeout=TIMEOUT) as sock:
-            sock.sendall(data)
+        with socket.create_connection((host, int(port)), timeout=TIMEOUT) as connection:
+            connection.sendall(data)
             if finish:
-                sock.shutdown(socket.SHUT_WR)
+                connection.shutdown(socket.SHUT_WR)
             received = b""
-            while piece := sock.recv(65536):
+            while piece := connection.recv(65536):
                 received += piece
             return received
 
@@ -99,7 +99,7 @@
 
 
 @pytest.fixture
-def bench() -> Iterator[Bench]:
+def harness() -> Iterator[Harness]:
     log, hosts, desk = StandInLog(), StandInHostList(), StandInDesk(0.0)
     engines = [StandInEngine(EngineSpeed(gap=0.002, slots=4)) for _ in range(2)]
     parts: list[Any] = [log, hosts, desk, *engines]
@@ -131,7 +131,7 @@
     hosts.set_node(HostRecord(node.runtime.core.node, AvailabilityZone(ZONE)))
     node.start()
     assert node.wait_ready(TIMEOUT)
-    yield Bench(node, engines, desk, log, hosts)
+    yield Harness(node, engines, desk, log, hosts)
     node.kill()
     for part in parts:
         part.close()
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input over a real socket: a clear 4xx at once, and nothing has run."""
+"""Invalid requests over a real socket get a 4xx response and are not executed."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import pytest
 
-from tests.gateway.conftest import TOKEN, Bench, chat
+from tests.gateway.conftest import TOKEN, Harness, chat
 
 GOOD = json.dumps(chat("hello")).encode()
 
 
-def check_nothing_ran(bench: Bench) -> None:
-    assert sum(sum(engine.counts.starts.values()) for engine in bench.engines) == 0
-    assert sum(bench.desk.starts.values()) == 0
+def check_nothing_executed(harness: Harness) -> None:
+    assert sum(sum(engine.counts.starts.values()) for engine in harness.engines) == 0
+    assert sum(harness.desk.starts.values()) == 0
 
 
 @pytest.mark.parametrize(
@@ -76,16 +76,16 @@
         ),
     ],
 )
-def test_clear_error_and_not_run(
-    bench: Bench, body: bytes, headers: dict[str, str], status: int, code: str
+def test_invalid_requests_get_an_error_and_are_not_executed(
+    harness: Harness, body: bytes, headers: dict[str, str], status: int, code: str
 ) -> None:
-    reply = bench.call(body, **headers)
+    reply = harness.call(body, **headers)
     assert reply.status == status
     assert reply.error["code"] == code
     assert reply.error["message"]
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
     assert reply.headers["X-Request-Id"].startswith("req-")
-    check_nothing_ran(bench)
+    check_nothing_executed(harness)
 
 
 def raw_request(headers: list[str], body: bytes = GOOD) -> bytes:
@@ -111,39 +111,41 @@
         ),
     ],
 )
-def test_contradicting_headers(bench: Bench, headers: list[str]) -> None:
-    received = bench.raw(raw_request([*headers, "Connection: close"]))
+def test_contradicting_headers_are_rejected(
+    harness: Harness, headers: list[str]
+) -> None:
+    received = harness.send_raw(raw_request([*headers, "Connection: close"]))
     assert received.startswith(b"HTTP/1.1 400")
     assert b"X-Rudderpass-Outcome: not-run" in received
-    check_nothing_ran(bench)
+    check_nothing_executed(harness)
 
 
 @pytest.mark.parametrize("data", [b"what is this\r\n\r\n", b"GET\r\n\r\n"])
-def test_what_is_not_http(bench: Bench, data: bytes) -> None:
-    assert bench.raw(data).startswith(b"HTTP/1.0 400")
+def test_malformed_http_is_rejected(harness: Harness, data: bytes) -> None:
+    assert harness.send_raw(data).startswith(b"HTTP/1.0 400")
 
 
-def test_a_truncated_body_runs_nothing(bench: Bench) -> None:
-    bench.raw(raw_request([AUTH, LENGTH], GOOD[:-5]), finish=True)
-    assert bench.call(chat("hello")).status == 200
-    assert sum(sum(item.counts.starts.values()) for item in bench.engines) == 1
+def test_a_truncated_body_is_not_executed(harness: Harness) -> None:
+    harness.send_raw(raw_request([AUTH, LENGTH], GOOD[:-5]), finish=True)
+    assert harness.call(chat("hello")).status == 200
+    assert sum(sum(item.counts.starts.values()) for item in harness.engines) == 1
 
 
-def test_pipelined_requests_each_get_their_answer(bench: Bench) -> None:
+def test_each_pipelined_request_gets_its_response(harness: Harness) -> None:
     bodies = [json.dumps(chat(f"[[id=p{n} tokens=3]]")).encode() for n in range(3)]
     data = b"".join(
         raw_request([AUTH, f"Content-Length: {len(body)}"], body) for body in bodies
     )
     data += raw_request([AUTH, LENGTH, "Connection: close"])
-    received = bench.raw(data)
+    received = harness.send_raw(data)
     assert received.count(b"HTTP/1.1 200 OK") == 4
 
 
-def test_a_wrong_method(bench: Bench) -> None:
-    reply = bench.call(b"", method="GET")
+def test_a_wrong_method_is_rejected(harness: Harness) -> None:
+    reply = harness.call(b"", method="GET")
     assert reply.status == 405 and reply.error["code"] == "method_not_allowed"
 
 
-def test_an_unknown_path(bench: Bench) -> None:
-    reply = bench.call(b"", path="/elsewhere")
+def test_an_unknown_path_is_rejected(harness: Harness) -> None:
+    reply = harness.call(b"", path="/elsewhere")
     assert reply.status == 404 and reply.error["code"] == "model_not_found"
--- a/tests/node/test_platform_faults.py
+++ b/tests/node/test_platform_faults.py
@@ -1,4 +1,4 @@
-"""Nodes while the platform's log is down, and configuration from a peer."""
+"""Configuration from peers and snapshots, as used while the platform's log is down."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from rudderpass.logservice import Appended, AppendResult, LogPage, LogRecord
 from rudderpass.membership import HostRecord
-from rudderpass.node._follower import hosts_interval
+from rudderpass.node._follower import host_list_interval
 from rudderpass.node._snapshots import SnapshotWriter
 from rudderpass.publishing import replay_page
 from tests.builders import ZONE, make_catalog, make_state
@@ -32,20 +32,20 @@
     return core
 
 
-def pass_messages(
+def deliver_messages(
     cores: dict[NodeId, NodeCore], sender: NodeId, actions: list[object]
 ) -> None:
     for action in actions:
         if isinstance(action, SendPeer):
             answer = cores[action.peer].receive(sender, action.message, 1.0)
-            pass_messages(cores, action.peer, [*answer])
+            deliver_messages(cores, action.peer, [*answer])
 
 
-def test_a_node_without_configuration_takes_a_peers() -> None:
+def test_a_node_without_configuration_gets_it_from_a_peer() -> None:
     cores = {A: make_core(A), B: make_core(B)}
     cores[A].take_config(make_state(make_catalog()), "log", 0.0)
     assert not cores[B].is_ready
-    pass_messages(cores, A, [*cores[A].tick(1.0)])
+    deliver_messages(cores, A, [*cores[A].tick(1.0)])
     assert cores[B].is_ready
     assert cores[B].config == cores[A].config
 
@@ -58,7 +58,7 @@
     assert rejected.kind is RefusalKind.NOT_READY
 
 
-def test_an_older_configuration_is_never_taken() -> None:
+def test_an_older_configuration_is_never_applied() -> None:
     core = make_core(A)
     old = make_state(make_catalog())
     change = build_change(old, make_catalog(extra={}), "ada")
@@ -72,7 +72,7 @@
 def test_a_peer_with_an_older_configuration_is_not_asked() -> None:
     cores = {A: make_core(A), B: make_core(B)}
     cores[A].take_config(make_state(make_catalog()), "log", 0.0)
-    pass_messages(cores, B, [*cores[B].tick(1.0)])
+    deliver_messages(cores, B, [*cores[B].tick(1.0)])
     assert cores[A].config.version == 1
 
 
@@ -83,13 +83,15 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "mine", "written"),
+    ("age", "is_writer", "written"),
     [(99, True, False), (101, True, True), (101, False, False)],
 )
-def test_a_snapshot_is_written_when_due(age: float, mine: bool, written: bool) -> None:
+def test_the_writer_writes_a_snapshot_when_due(
+    age: float, is_writer: bool, written: bool
+) -> None:
     service = MemoryLog()
     state = make_state(make_catalog())
-    writer = SnapshotWriter(service, 100, lambda: state, lambda: 0.0, lambda: mine)
+    writer = SnapshotWriter(service, 100, lambda: state, lambda: 0.0, lambda: is_writer)
     assert writer.write_if_due(age) is written
     assert len(service.records) == written
     if written:
@@ -101,11 +103,11 @@
 def test_the_host_list_is_read_less_often_as_it_grows(
     nodes: int, seconds: float
 ) -> None:
-    assert hosts_interval(nodes) == seconds
+    assert host_list_interval(nodes) == seconds
 
 
 class MemoryLog:
-    """A log service that keeps what is appended."""
+    """A log service that stores appended records in memory."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
--- a/tests/streams/test_chunks.py
+++ b/tests/streams/test_chunks.py
@@ -1,4 +1,4 @@
-"""Chunked framing, cut at any place."""
+"""The chunked decoder: input split anywhere, truncation, and invalid framing."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(encode([b"hello"]))))
-def test_a_cut_stream_is_never_done(cut: int) -> None:
+def test_a_truncated_body_is_never_done(cut: int) -> None:
     decoder = ChunkDecoder()
     decoder.feed(encode([b"hello"])[: len(encode([b"hello"])) - cut])
     assert not decoder.is_done
@@ -42,7 +42,7 @@
     "data",
     [b"zz\r\n", b"\r\n", b"-1\r\n", b"5\r\nhelloXX\r\n", b"1" * 300],
 )
-def test_broken_framing_is_an_error(data: bytes) -> None:
+def test_invalid_framing_is_an_error(data: bytes) -> None:
     with pytest.raises(ChunkError):
         ChunkDecoder().feed(data)
 
--- a/tests/streams/test_relay.py
+++ b/tests/streams/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay: whole events only, breaks are seen, slow callers hold nobody up."""
+"""The relay: only whole events, detection of breaks, isolation of slow callers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from rudderpass.errors import CallerGone
-from rudderpass.streams import CallerSide, Relay, StreamEnd
+from rudderpass.streams import Relay, StreamEnd, StreamSink
 
 EVENT = b'data: {"n": 1}\n\n'
 DONE = b"data: [DONE]\n\n"
@@ -23,8 +23,8 @@
     running.close()
 
 
-class Sink:
-    """A caller that keeps what it gets."""
+class FakeCaller:
+    """A caller that stores the bytes it receives."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -36,8 +36,8 @@
             raise CallerGone("gone")
         self.data += data
 
-    def side(self) -> CallerSide:
-        return CallerSide(
+    def as_sink(self) -> StreamSink:
+        return StreamSink(
             self.write, lambda: 10**9 if self.full else 0, lambda: self.gone
         )
 
@@ -50,92 +50,92 @@
     return socket.socketpair()
 
 
-def test_a_whole_stream_passes_unchanged(relay: Relay) -> None:
-    near, far = open_pair()
-    sink = Sink()
-    future = relay.relay(near, b"", True, sink.side(), TIMEOUT)
-    far.sendall(chunk(EVENT) + chunk(EVENT[:5]) + chunk(EVENT[5:] + DONE))
-    far.sendall(b"0\r\n\r\n")
+def test_a_complete_stream_is_relayed_unchanged(relay: Relay) -> None:
+    local, remote = open_pair()
+    caller = FakeCaller()
+    future = relay.relay(local, b"", True, caller.as_sink(), TIMEOUT)
+    remote.sendall(chunk(EVENT) + chunk(EVENT[:5]) + chunk(EVENT[5:] + DONE))
+    remote.sendall(b"0\r\n\r\n")
     result = future.result(TIMEOUT)
     assert result.end is StreamEnd.COMPLETE
-    assert sink.data == EVENT * 2 + DONE
+    assert caller.data == EVENT * 2 + DONE
     assert result.tokens == 2
 
 
 def test_bytes_read_with_the_headers_come_first(relay: Relay) -> None:
-    near, far = open_pair()
-    sink = Sink()
-    future = relay.relay(near, chunk(EVENT), True, sink.side(), TIMEOUT)
-    far.sendall(chunk(DONE) + b"0\r\n\r\n")
+    local, remote = open_pair()
+    caller = FakeCaller()
+    future = relay.relay(local, chunk(EVENT), True, caller.as_sink(), TIMEOUT)
+    remote.sendall(chunk(DONE) + b"0\r\n\r\n")
     assert future.result(TIMEOUT).end is StreamEnd.COMPLETE
-    assert sink.data == EVENT + DONE
+    assert caller.data == EVENT + DONE
 
 
 WHOLE = chunk(EVENT) + chunk(EVENT) + chunk(DONE) + b"0\r\n\r\n"
 
 
 @pytest.mark.parametrize("kept", range(len(WHOLE)))
-def test_cut_at_any_byte_it_is_broken_and_only_whole_events_passed(
+def test_a_stream_truncated_anywhere_is_broken_and_only_whole_events_are_relayed(
     relay: Relay, kept: int
 ) -> None:
-    near, far = open_pair()
-    sink = Sink()
-    future = relay.relay(near, b"", True, sink.side(), TIMEOUT)
-    far.sendall(WHOLE[:kept])
-    far.close()
+    local, remote = open_pair()
+    caller = FakeCaller()
+    future = relay.relay(local, b"", True, caller.as_sink(), TIMEOUT)
+    remote.sendall(WHOLE[:kept])
+    remote.close()
     result = future.result(TIMEOUT)
     assert result.end is StreamEnd.BROKEN
-    assert sink.data in (b"", EVENT, EVENT * 2, EVENT * 2 + DONE)
-    assert result.tokens == sink.data.count(b'"n"')
+    assert caller.data in (b"", EVENT, EVENT * 2, EVENT * 2 + DONE)
+    assert result.tokens == caller.data.count(b'"n"')
 
 
-def test_broken_framing_breaks_the_stream(relay: Relay) -> None:
-    near, far = open_pair()
-    future = relay.relay(near, b"", True, Sink().side(), TIMEOUT)
-    far.sendall(b"what?\r\n")
+def test_invalid_framing_breaks_the_stream(relay: Relay) -> None:
+    local, remote = open_pair()
+    future = relay.relay(local, b"", True, FakeCaller().as_sink(), TIMEOUT)
+    remote.sendall(b"what?\r\n")
     assert future.result(TIMEOUT).end is StreamEnd.BROKEN
 
 
-def test_a_silent_upstream_is_broken(relay: Relay) -> None:
-    near, far = open_pair()
-    future = relay.relay(near, b"", True, Sink().side(), 0.05)
+def test_a_stream_whose_upstream_is_silent_is_broken(relay: Relay) -> None:
+    local, remote = open_pair()
+    future = relay.relay(local, b"", True, FakeCaller().as_sink(), 0.05)
     result = future.result(TIMEOUT)
     assert result.end is StreamEnd.BROKEN and "silent" in result.reason
-    far.close()
+    remote.close()
 
 
-def test_a_caller_that_goes_away_ends_the_stream(relay: Relay) -> None:
-    near, far = open_pair()
-    sink = Sink()
-    future = relay.relay(near, b"", True, sink.side(), TIMEOUT)
-    sink.gone = True
+def test_the_stream_ends_when_the_caller_disconnects(relay: Relay) -> None:
+    local, remote = open_pair()
+    caller = FakeCaller()
+    future = relay.relay(local, b"", True, caller.as_sink(), TIMEOUT)
+    caller.gone = True
     assert future.result(TIMEOUT).end is StreamEnd.CALLER_GONE
-    far.close()
-
-
-def test_a_caller_that_does_not_read_holds_nobody_up(relay: Relay) -> None:
-    near, far = open_pair()
-    stuck = Sink()
-    stuck.full = True
-    blocked = relay.relay(near, b"", True, stuck.side(), TIMEOUT)
-    far.sendall(chunk(EVENT))
-    other_near, other_far = open_pair()
-    sink = Sink()
-    future = relay.relay(other_near, b"", True, sink.side(), TIMEOUT)
-    other_far.sendall(chunk(EVENT) + chunk(DONE) + b"0\r\n\r\n")
+    remote.close()
+
+
+def test_a_stalled_caller_does_not_block_other_streams(relay: Relay) -> None:
+    local, remote = open_pair()
+    stalled = FakeCaller()
+    stalled.full = True
+    blocked = relay.relay(local, b"", True, stalled.as_sink(), TIMEOUT)
+    remote.sendall(chunk(EVENT))
+    other_local, other_remote = open_pair()
+    caller = FakeCaller()
+    future = relay.relay(other_local, b"", True, caller.as_sink(), TIMEOUT)
+    other_remote.sendall(chunk(EVENT) + chunk(DONE) + b"0\r\n\r\n")
     assert future.result(TIMEOUT).end is StreamEnd.COMPLETE
     assert not blocked.done()
-    stuck.full = False
-    far.sendall(chunk(DONE) + b"0\r\n\r\n")
+    stalled.full = False
+    remote.sendall(chunk(DONE) + b"0\r\n\r\n")
     assert blocked.result(TIMEOUT).end is StreamEnd.COMPLETE
 
 
-def test_a_caller_that_never_reads_is_given_up(relay: Relay) -> None:
-    near, far = open_pair()
-    stuck = Sink()
-    stuck.full = True
-    future = relay.relay(near, b"", True, stuck.side(), 0.1)
-    far.sendall(chunk(EVENT))
+def test_the_stream_of_a_caller_that_never_reads_is_ended(relay: Relay) -> None:
+    local, remote = open_pair()
+    stalled = FakeCaller()
+    stalled.full = True
+    future = relay.relay(local, b"", True, stalled.as_sink(), 0.1)
+    remote.sendall(chunk(EVENT))
     result = future.result(TIMEOUT)
     assert result.end is StreamEnd.CALLER_GONE and "read nothing" in result.reason
-    far.close()
+    remote.close()
--- a/tests/streams/test_retry.py
+++ b/tests/streams/test_retry.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt, and what a caller is told."""
+"""The retry policy and the outcome reported after a failed attempt."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     Outcome,
     RetryBudget,
     decide_next,
-    note_failure,
     outcome_of,
+    record_failure,
 )
 
 UNSENT = UpstreamError("refused connection", sent=False)
@@ -42,18 +42,18 @@
     outcome: Outcome,
 ) -> None:
     state = AttemptState(repeatable, produced=produced, attempts=1)
-    state = note_failure(state, error)
+    state = record_failure(state, error)
     assert decide_next(state, error, budget) is step
     assert outcome_of(state) is outcome
 
 
-def test_what_may_have_run_once_is_never_said_not_to_have_run() -> None:
-    state = note_failure(AttemptState(True), SENT)
-    state = note_failure(state, UNSENT)
+def test_a_request_that_may_have_run_is_never_reported_as_not_run() -> None:
+    state = record_failure(AttemptState(True), SENT)
+    state = record_failure(state, UNSENT)
     assert outcome_of(state) is Outcome.UNKNOWN
 
 
-def test_retries_stay_below_the_classs_share() -> None:
+def test_retries_stay_within_the_budget_of_the_class() -> None:
     budget = RetryBudget(reserve=5)
     spent = 0
     for _ in range(1000):
--- a/tests/webserver/test_server.py
+++ b/tests/webserver/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: closing at any moment, and callers that it notices leave."""
+"""The HTTP server: shutdown races, idle connections, and disconnecting callers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         connection.close()
 
 
-def test_a_close_that_the_loop_carries_out_before_it_is_woken(
+def test_close_when_the_loop_closes_its_trigger_before_it_is_signalled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     server = serve(say_hello)
@@ -75,45 +75,47 @@
     server.close()
 
 
-def test_a_caller_that_leaves_is_noticed_at_once() -> None:
-    left = threading.Event()
-    asked = threading.Event()
+def test_a_disconnecting_caller_is_detected_at_once() -> None:
+    disconnected = threading.Event()
+    watching = threading.Event()
 
     def wait(
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         caller: CallerConnection = environ[CONNECTION_KEY]
-        caller.watch(left.set)
-        asked.set()
-        left.wait(TIMEOUT)
+        caller.watch(disconnected.set)
+        watching.set()
+        disconnected.wait(TIMEOUT)
         return say_hello(environ, start_response)
 
     server = serve(wait)
     connection = http.client.HTTPConnection(server.address, timeout=TIMEOUT)
     connection.request("GET", "/")
-    assert asked.wait(TIMEOUT)
-    assert not left.is_set()
+    assert watching.wait(TIMEOUT)
+    assert not disconnected.is_set()
     connection.close()
-    assert left.wait(TIMEOUT)
+    assert disconnected.wait(TIMEOUT)
     server.close()
 
 
 def close_idle_until_closed(server: HttpServer, sock: socket.socket) -> bytes:
-    """Close idle connections, as a stop does, until this one is among them.
+    """Close idle connections repeatedly, as a stop does, until this one is closed.
 
-    A caller may have a whole answer before the server's thread is done with it.
+    A caller may have the whole response before the server's thread has finished it.
     """
     sock.settimeout(0.05)
-    until = time.monotonic() + TIMEOUT
+    deadline = time.monotonic() + TIMEOUT
     while True:
         server.close_idle()
         try:
             return sock.recv(1)
         except TimeoutError:
-            assert time.monotonic() < until, "never closed"
+            assert time.monotonic() < deadline, "never closed"
 
 
-def test_a_connection_whose_answer_is_being_ended_is_closed_by_a_later_call() -> None:
+def test_a_connection_whose_response_is_being_finished_is_closed_by_a_later_call() -> (
+    None
+):
     ending, ended = threading.Event(), threading.Event()
 
     class Body:
