--- a/src/rudderpass/gossip/__init__.py
+++ b/src/rudderpass/gossip/__init__.py
@@ -1,6 +1,5 @@
 """Hosts tell one another what they know, so that none depends on the store alone."""
 
-from rudderpass.gossip._beat import Beat as Beat
 from rudderpass.gossip._codec import (
     decode_beat as decode_beat,
     decode_prompts as decode_prompts,
@@ -17,6 +16,7 @@
     encode_settled_usage as encode_settled_usage,
 )
 from rudderpass.gossip._following import FollowRule as FollowRule
+from rudderpass.gossip._heartbeat import Beat as Beat
 from rudderpass.gossip._mesh import (
     CANDIDATE_SECONDS as CANDIDATE_SECONDS,
     NAMING_BEATS as NAMING_BEATS,
--- a/src/rudderpass/gossip/_codec.py
+++ b/src/rudderpass/gossip/_codec.py
@@ -19,10 +19,10 @@
 from rudderpass.duties import DutyNews
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, PartId, PromptPart, Reading, SentPrompt
-from rudderpass.gossip._beat import Beat
 from rudderpass.gossip._digest import Digest, Member
 from rudderpass.gossip._duties import usage_from_wire, usage_to_wire
 from rudderpass.gossip._gen.wire import ttypes as wire
+from rudderpass.gossip._heartbeat import Beat
 from rudderpass.gossip._rate_limits import rate_limit_from_wire, rate_limit_to_wire
 from rudderpass.gossip._suspects import suspect_from_wire, suspect_to_wire
 from rudderpass.gossip._wire import MAX_I32, given
--- a/src/rudderpass/gossip/_mesh.py
+++ b/src/rudderpass/gossip/_mesh.py
@@ -9,9 +9,9 @@
 
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.exchange import HostRank
-from rudderpass.gossip._beat import Beat
 from rudderpass.gossip._digest import Digest, Member
 from rudderpass.gossip._hashing import hash_host
+from rudderpass.gossip._heartbeat import Beat
 
 LIVE_SECONDS = 3.0
 """A peer not heard for so long is taken as gone; beats come every half second, and two
--- a/src/rudderpass/gossip/_transport.py
+++ b/src/rudderpass/gossip/_transport.py
@@ -13,7 +13,6 @@
 from rudderpass.directory import DirectoryState
 from rudderpass.errors import PeerError
 from rudderpass.exchange import SentPrompt
-from rudderpass.gossip._beat import Beat
 from rudderpass.gossip._codec import (
     decode_beat,
     decode_prompts,
@@ -22,6 +21,7 @@
     encode_prompts,
     encode_state,
 )
+from rudderpass.gossip._heartbeat import Beat
 from rudderpass.webserver import HttpServer, ServerLimits
 
 STATE_PATH = "/state"
