--- a/src/rudderpass/gossip/__init__.py
+++ b/src/rudderpass/gossip/__init__.py
@@ -17,7 +17,7 @@
 )
 from rudderpass.gossip._following import FollowRule as FollowRule
 from rudderpass.gossip._heartbeat import Beat as Beat
-from rudderpass.gossip._mesh import (
+from rudderpass.gossip._peer_table import (
     CANDIDATE_SECONDS as CANDIDATE_SECONDS,
     NAMING_BEATS as NAMING_BEATS,
     Mesh as Mesh,
--- a/src/rudderpass/gossip/_following.py
+++ b/src/rudderpass/gossip/_following.py
@@ -5,7 +5,7 @@
 import xxhash
 
 from rudderpass._ids import NodeId
-from rudderpass.gossip._mesh import Mesh
+from rudderpass.gossip._peer_table import Mesh
 
 FOLLOW_ALL_BELOW = 16
 """Up to here every host follows the store: calls to it cost 0.003 of worth on 7 or 8
--- a/src/rudderpass/gossip/_relaying.py
+++ b/src/rudderpass/gossip/_relaying.py
@@ -17,7 +17,7 @@
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.exchange import RETELL_SECONDS, SentPrompt
 from rudderpass.gossip._hashing import hash_host
-from rudderpass.gossip._mesh import Mesh
+from rudderpass.gossip._peer_table import Mesh
 from rudderpass.learning import StreamSample
 
 RELAY_FROM = 40
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -218,7 +218,7 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After an outage the first host that is answered informs the others."""
-    monkeypatch.setattr("rudderpass.gossip._mesh.BEHIND_SECONDS", 1000.0)
+    monkeypatch.setattr("rudderpass.gossip._peer_table.BEHIND_SECONDS", 1000.0)
     deployment.publish(1, "k1")
     deployment.register()
     dead = StandInStore()
