--- a/src/rudderpass/gossip/__init__.py
+++ b/src/rudderpass/gossip/__init__.py
@@ -22,7 +22,7 @@
     NAMING_BEATS as NAMING_BEATS,
     Mesh as Mesh,
 )
-from rudderpass.gossip._relaying import (
+from rudderpass.gossip._relays import (
     RELAY_FROM as RELAY_FROM,
     Relaying as Relaying,
     choose_server as choose_server,
