--- a/src/rudderpass/gossip/__init__.py
+++ b/src/rudderpass/gossip/__init__.py
@@ -15,7 +15,6 @@
     encode_duty_holder as encode_duty_holder,
     encode_settled_usage as encode_settled_usage,
 )
-from rudderpass.gossip._following import FollowRule as FollowRule
 from rudderpass.gossip._heartbeat import Beat as Beat
 from rudderpass.gossip._peer_table import (
     CANDIDATE_SECONDS as CANDIDATE_SECONDS,
@@ -27,6 +26,7 @@
     Relaying as Relaying,
     choose_server as choose_server,
 )
+from rudderpass.gossip._store_following import FollowRule as FollowRule
 from rudderpass.gossip._suspects import (
     decode_quarantined as decode_quarantined,
     encode_host_record as encode_host_record,
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -330,7 +330,7 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # However long the machine takes, the host waits for a follower in this test.
-    monkeypatch.setattr("rudderpass.gossip._following.START_SECONDS", 60.0)
+    monkeypatch.setattr("rudderpass.gossip._store_following.START_SECONDS", 60.0)
     deployment.publish(1, "k1")
     deployment.register()
     first = deployment.start()
