--- a/tests/exchange/test_budget_over_losses.py
+++ b/tests/exchange/test_budget_over_losses.py
@@ -25,7 +25,7 @@
 from rudderpass._ids import NodeId, PoolId
 from rudderpass.exchange import BudgetRule, SharedRetryBudget
 from rudderpass.gossip import Mesh
-from tests.gossip.test_mesh import beat
+from tests.gossip.test_peer_table import beat
 
 SERVICE = PoolId("engines")
 RULE = BudgetRule(ratio=0.2, slack=54, window=10.0)
--- a/tests/gossip/test_following.py
+++ b/tests/gossip/test_following.py
@@ -6,7 +6,7 @@
 
 from rudderpass._ids import NodeId
 from rudderpass.gossip import FollowRule, Mesh
-from tests.gossip.test_mesh import MANY, OWN, PEERS, beat, make_mesh
+from tests.gossip.test_peer_table import MANY, OWN, PEERS, beat, make_mesh
 
 STARTED_LONG_AGO = -100.0
 
