--- a/src/rudderpass/exchange/_forecast.py
+++ b/src/rudderpass/exchange/_forecast.py
@@ -9,7 +9,7 @@
 from rudderpass.exchange._assignment import Accepted
 from rudderpass.exchange._load import LoadBook
 from rudderpass.exchange._placement import Demand, Harms
-from rudderpass.learning import StreamMemory, StreamSample
+from rudderpass.learning import StreamSample, StreamStats
 
 MAX_TOLD_STREAMS = 4
 """Streams told to peers in one beat; of 100 hosts, each then hears of 800 a second at
@@ -27,17 +27,17 @@
     def __init__(self, directory: Directory, loads: LoadBook) -> None:
         self._directory = directory
         self._loads = loads
-        self._streams = StreamMemory()
+        self._streams = StreamStats()
         self._untold: list[StreamSample] = []
 
     @property
     def passed_over(self) -> int:
         """Streams told or seen whose times cannot be true."""
-        return self._streams.passed_over
+        return self._streams.rejected_samples
 
     def note_stream(self, sample: StreamSample, now: float) -> None:
         """Take note of a stream that one upstream brought whole; tell the peers."""
-        if sample.is_sound and len(self._untold) < MAX_TOLD_STREAMS:
+        if sample.is_plausible and len(self._untold) < MAX_TOLD_STREAMS:
             self._untold.append(sample)
         self.take_streams([sample], now)
 
@@ -46,7 +46,7 @@
         for sample in samples:
             record = self._directory.listed.get(sample.upstream)
             if record is not None:
-                self._streams.note(record.entry.service, sample, now)
+                self._streams.record(record.entry.service, sample, now)
 
     def drain_streams(self) -> list[StreamSample]:
         """Return what streams showed since the last call, to be told to peers."""
@@ -68,14 +68,14 @@
         others: dict[UpstreamId, float] = {}
         for entry in upstreams:
             slowness = self._streams.slowness(service, entry.upstream)
-            own[entry.upstream] = self._streams.harm(
+            own[entry.upstream] = self._streams.late_probability(
                 service, gap, tightest, now, slowness
             )
-            others[entry.upstream] = self._streams.harm(
+            others[entry.upstream] = self._streams.late_probability(
                 service, tightest, tightest, now, slowness
             )
         return Harms(
-            self._streams.harm(service, gap, tightest, now),
+            self._streams.late_probability(service, gap, tightest, now),
             own,
             others,
         )
--- a/src/rudderpass/gossip/__init__.py
+++ b/src/rudderpass/gossip/__init__.py
@@ -1,10 +1,10 @@
-"""Hosts tell one another what they know, so that none depends on the store alone."""
+"""Gossip between hosts, so that none depends on the platform's store alone."""
 
 from rudderpass.gossip._codec import (
-    decode_beat as decode_beat,
+    decode_heartbeat as decode_heartbeat,
     decode_prompts as decode_prompts,
     decode_state as decode_state,
-    encode_beat as encode_beat,
+    encode_heartbeat as encode_heartbeat,
     encode_prompts as encode_prompts,
     encode_state as encode_state,
 )
@@ -15,16 +15,16 @@
     encode_duty_holder as encode_duty_holder,
     encode_settled_usage as encode_settled_usage,
 )
-from rudderpass.gossip._heartbeat import Beat as Beat
+from rudderpass.gossip._heartbeat import Heartbeat as Heartbeat
 from rudderpass.gossip._peer_table import (
     CANDIDATE_SECONDS as CANDIDATE_SECONDS,
-    NAMING_BEATS as NAMING_BEATS,
-    Mesh as Mesh,
+    HEARTBEATS_PER_PEER_SAMPLE as HEARTBEATS_PER_PEER_SAMPLE,
+    PeerTable as PeerTable,
 )
 from rudderpass.gossip._relays import (
-    RELAY_FROM as RELAY_FROM,
-    Relaying as Relaying,
-    choose_server as choose_server,
+    MIN_HOSTS_FOR_RELAYS as MIN_HOSTS_FOR_RELAYS,
+    RelayRole as RelayRole,
+    assign_relay as assign_relay,
 )
 from rudderpass.gossip._store_following import FollowRule as FollowRule
 from rudderpass.gossip._suspects import (
--- a/src/rudderpass/gossip/_codec.py
+++ b/src/rudderpass/gossip/_codec.py
@@ -1,4 +1,4 @@
-"""Beats and states as bytes: thrift structs in the compact protocol."""
+"""Encoding of heartbeats and states as thrift structs in the compact protocol."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from rudderpass.gossip._digest import Digest, Member
 from rudderpass.gossip._duties import usage_from_wire, usage_to_wire
 from rudderpass.gossip._gen.wire import ttypes as wire
-from rudderpass.gossip._heartbeat import Beat
+from rudderpass.gossip._heartbeat import Heartbeat
 from rudderpass.gossip._rate_limits import rate_limit_from_wire, rate_limit_to_wire
 from rudderpass.gossip._suspects import suspect_from_wire, suspect_to_wire
-from rudderpass.gossip._wire import MAX_I32, given
+from rudderpass.gossip._wire import MAX_I32, required
 from rudderpass.learning import StreamSample
 
 _MS = 1000.0
@@ -36,67 +36,70 @@
 _ADDRESS_BITS = 32 + _PORT_BITS
 
 _BLOCK_TOKENS = 256
-"""Unread tokens are told by rank in blocks of so many, which take 6 ms to read. So a
-digest of 78 engines has 2.0 kB; 2.5 kB to the token, and 1.0 kB without ranks."""
+"""Unread tokens per rank are sent in blocks of this size, whose prefill takes 6 ms. A
+digest of 78 engines then has 2.0 kB; it would have 2.5 kB with exact token counts, and
+1.0 kB without ranks."""
 
 _DEFLATE_LEVEL = 3
-"""A configuration shrinks to a sixth; higher levels take twice the time for a tenth."""
+"""Shrinks a configuration to a sixth; higher levels take twice as long to save another
+tenth."""
 
 MIN_DEFLATED_BYTES = 600
-"""Longer beats are deflated: digests, which go to many and fill slow links. Shorter
-ones hardly shrink."""
+"""Heartbeats of at least this size are compressed: digests, which go to many hosts and
+fill slow links. Shorter ones hardly shrink."""
 
 _DEFLATED = b"\x78"
 
 MAX_STATE_BYTES = 16 * 1024 * 1024
-"""What a state may hold once it is inflated: far above the two-year size's 1.5 MB, and
-below what would end the process."""
+"""Limit of a decompressed state: far above the 1.5 MB of the deployment planned for two
+years from now, and below what would exhaust the process's memory."""
 
 
-def encode_beat(beat: Beat) -> bytes:
-    """Return a beat's bytes."""
-    prompts = [_prompt_to_wire(prompt) for prompt in beat.prompts]
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
+    """Return the datagram for a heartbeat."""
+    prompts = [_prompt_to_wire(prompt) for prompt in heartbeat.prompts]
     data = encode_struct(
         wire.Beat(
-            beat.config_offset,
-            beat.upstreams_end,
-            beat.stopping,
-            None if beat.loads is None else _loads_to_wire(beat.loads),
+            heartbeat.config_offset,
+            heartbeat.upstreams_end,
+            heartbeat.stopping,
+            None if heartbeat.loads is None else _loads_to_wire(heartbeat.loads),
             prompts,
-            list(beat.peers),
-            beat.warm,
-            beat.following,
-            [_stream_to_wire(sample) for sample in beat.streams] or None,
-            _reading_to_wire(beat.reading) or None,
-            beat.zone,
-            beat.number,
-            None if beat.digest is None else _digest_to_wire(beat.digest),
-            beat.link_mbps or None,
-            [suspect_to_wire(suspect) for suspect in beat.suspects] or None,
-            None if beat.duty is None else beat.duty.token,
-            None if beat.duty is None else beat.duty.holds or None,
-            None if beat.duty is None else beat.duty.settled_before or None,
-            None if beat.usage is None else usage_to_wire(beat.usage),
-            [rate_limit_to_wire(limit) for limit in beat.rate_limits] or None,
-            list(beat.leaving) or None,
+            list(heartbeat.peers),
+            heartbeat.warm,
+            heartbeat.following,
+            [_stream_to_wire(sample) for sample in heartbeat.streams] or None,
+            _reading_to_wire(heartbeat.reading) or None,
+            heartbeat.zone,
+            heartbeat.number,
+            None if heartbeat.digest is None else _digest_to_wire(heartbeat.digest),
+            heartbeat.link_mbps or None,
+            [suspect_to_wire(suspect) for suspect in heartbeat.suspects] or None,
+            None if heartbeat.duty is None else heartbeat.duty.token,
+            None if heartbeat.duty is None else heartbeat.duty.holds or None,
+            None if heartbeat.duty is None else heartbeat.duty.settled_before or None,
+            None if heartbeat.usage is None else usage_to_wire(heartbeat.usage),
+            [rate_limit_to_wire(limit) for limit in heartbeat.rate_limits] or None,
+            list(heartbeat.leaving) or None,
         )
     )
     return data if len(data) < MIN_DEFLATED_BYTES else _deflate(data)
 
 
-def decode_beat(data: bytes, sender: NodeId) -> Beat:
-    """Return the beat in a datagram.
+def decode_heartbeat(data: bytes, sender: NodeId) -> Heartbeat:
+    """Return the heartbeat in a datagram.
 
     :param sender: the datagram's source address.
-    :raises PeerError: when the bytes are none.
+    :raises PeerError: when the bytes are not a valid heartbeat.
     """
-    is_deflated = data[:1] == _DEFLATED  # No beat begins so: its first field differs.
+    # An uncompressed heartbeat begins with another byte, the header of its first field.
+    is_deflated = data[:1] == _DEFLATED
     raw = decode_struct(wire.Beat(), _inflate(data) if is_deflated else data)
     try:
-        return Beat(
+        return Heartbeat(
             sender,
-            given(raw.config_offset),
-            given(raw.upstreams_end),
+            required(raw.config_offset),
+            required(raw.upstreams_end),
             bool(raw.stopping),
             None if raw.loads is None else _loads_from_wire(raw.loads),
             tuple(_prompt_from_wire(item) for item in raw.prompts or ()),
@@ -116,7 +119,7 @@
             tuple(UpstreamId(name) for name in raw.leaving or ()),
         )
     except TypeError as error:
-        raise PeerError(f"incomplete beat: {error}", step="decode") from error
+        raise PeerError(f"invalid heartbeat: {error}", step="decode") from error
 
 
 def _duty_from_wire(raw: wire.Beat) -> DutyNews | None:
@@ -128,13 +131,13 @@
 
 
 def encode_state(state: DirectoryState) -> bytes:
-    """Return a state's bytes."""
-    config = None if state.config is None else _to_wire(state.config)
+    """Return the compressed bytes of a state."""
+    config = None if state.config is None else _record_to_wire(state.config)
     return _deflate(
         encode_struct(
             wire.State(
                 config,
-                [_to_wire(record) for record in state.upstreams],
+                [_record_to_wire(record) for record in state.upstreams],
                 state.upstreams_end,
                 {name: int(seconds * _MS) for name, seconds in state.ending},
                 state.changes_from,
@@ -144,16 +147,16 @@
 
 
 def decode_state(data: bytes) -> DirectoryState:
-    """Return the state that a peer handed over.
+    """Return the state received from a peer.
 
-    :raises PeerError: when the bytes are none.
+    :raises PeerError: when the bytes are not a valid state.
     """
     raw = decode_struct(wire.State(), _inflate(data))
     try:
         return DirectoryState(
-            None if raw.config is None else _from_wire(raw.config),
-            tuple(_from_wire(record) for record in raw.upstreams or ()),
-            given(raw.upstreams_end),
+            None if raw.config is None else _record_from_wire(raw.config),
+            tuple(_record_from_wire(record) for record in raw.upstreams or ()),
+            required(raw.upstreams_end),
             tuple(
                 (UpstreamName(name), ms / _MS)
                 for name, ms in (raw.ending_ms or {}).items()
@@ -161,25 +164,25 @@
             raw.changes_from,
         )
     except TypeError as error:
-        raise PeerError(f"incomplete state: {error}", step="decode") from error
+        raise PeerError(f"invalid state: {error}", step="decode") from error
 
 
 def encode_prompts(prompts: Iterable[SentPrompt]) -> bytes:
-    """Return the bytes of all that a host believes to be kept."""
-    known = wire.Prompts([_prompt_to_wire(prompt) for prompt in prompts])
-    return _deflate(encode_struct(known))
+    """Return the compressed bytes of the prompts that a host believes to be cached."""
+    raw = wire.Prompts([_prompt_to_wire(prompt) for prompt in prompts])
+    return _deflate(encode_struct(raw))
 
 
 def decode_prompts(data: bytes) -> tuple[SentPrompt, ...]:
-    """Return what a peer believes to be kept.
+    """Return the prompts that a peer believes to be cached.
 
-    :raises PeerError: when the bytes are none.
+    :raises PeerError: when the bytes are not valid prompts.
     """
     raw = decode_struct(wire.Prompts(), _inflate(data))
     try:
         return tuple(_prompt_from_wire(item) for item in raw.prompts or ())
     except TypeError as error:
-        raise PeerError(f"incomplete prompts: {error}", step="decode") from error
+        raise PeerError(f"invalid prompts: {error}", step="decode") from error
 
 
 def _deflate(data: bytes) -> bytes:
@@ -191,9 +194,11 @@
     try:
         inflated = inflater.decompress(data, MAX_STATE_BYTES)
     except zlib.error as error:
-        raise PeerError(f"not deflated: {error}", step="decode") from error
+        raise PeerError(f"invalid compressed data: {error}", step="decode") from error
     if not inflater.eof:
-        raise PeerError(f"cut, or over {MAX_STATE_BYTES} bytes", step="decode")
+        raise PeerError(
+            f"data truncated or larger than {MAX_STATE_BYTES} bytes", step="decode"
+        )
     return inflated
 
 
@@ -204,9 +209,10 @@
 
 def _prompt_from_wire(raw: wire.SentPrompt) -> SentPrompt:
     parts = tuple(
-        PromptPart(PartId(given(part.part)), given(part.tokens)) for part in raw.parts
+        PromptPart(PartId(required(part.part)), required(part.tokens))
+        for part in raw.parts
     )
-    return SentPrompt(UpstreamId(given(raw.upstream)), parts)
+    return SentPrompt(UpstreamId(required(raw.upstream)), parts)
 
 
 def _stream_to_wire(sample: StreamSample) -> wire.StreamSample:
@@ -233,9 +239,9 @@
 
 def _loads_from_wire(raw: list[wire.UpstreamLoad] | None) -> dict[UpstreamId, Load]:
     return {
-        UpstreamId(given(item.upstream)): Load(
-            given(item.running),
-            given(item.unread_tokens),
+        UpstreamId(required(item.upstream)): Load(
+            required(item.running),
+            required(item.unread_tokens),
             (item.tight_percent or 0) / _PERCENT,
             _ranks_from_wire(item.ranks),
             tuple(
@@ -257,7 +263,7 @@
 
 def _digest_to_wire(digest: Digest) -> wire.Digest:
     return wire.Digest(
-        digest.is_whole,
+        digest.covers_all_zones,
         [
             wire.ZoneMembers(zone, [_member_to_wire(member) for member in members])
             for zone, members in digest.members.items()
@@ -271,7 +277,7 @@
     return Digest(
         bool(raw.whole),
         {
-            AvailabilityZone(given(item.zone)): tuple(
+            AvailabilityZone(required(item.zone)): tuple(
                 _member_from_wire(member) for member in item.members or ()
             )
             for item in raw.zones or ()
@@ -297,11 +303,11 @@
 
 def _member_from_wire(raw: wire.Member) -> Member:
     return Member(
-        _unpack_address(given(raw.address)),
-        given(raw.number),
-        max(0, given(raw.age_ms)) / _MS,
-        given(raw.config_offset),
-        given(raw.upstreams_end),
+        _unpack_address(required(raw.address)),
+        required(raw.number),
+        max(0, required(raw.age_ms)) / _MS,
+        required(raw.config_offset),
+        required(raw.upstreams_end),
         bool(raw.stopping),
         bool(raw.warm),
         bool(raw.following),
@@ -309,25 +315,25 @@
     )
 
 
-def _pack_address(node: NodeId) -> int:
-    """Return ``ip:port`` as a number: 7 bytes where the text has 16."""
-    host, _, port = node.rpartition(":")
-    return int.from_bytes(socket.inet_aton(host), "big") << _PORT_BITS | int(port)
+def _pack_address(address: NodeId) -> int:
+    """Return ``ip:port`` as a number, which takes 7 bytes where the text takes 16."""
+    ip, _, port = address.rpartition(":")
+    return int.from_bytes(socket.inet_aton(ip), "big") << _PORT_BITS | int(port)
 
 
 def _unpack_address(packed: int) -> NodeId:
     if not 0 <= packed < 1 << _ADDRESS_BITS:
-        raise TypeError(f"{packed} is no address")
-    host = socket.inet_ntoa((packed >> _PORT_BITS).to_bytes(4, "big"))
-    return NodeId(f"{host}:{packed & _MAX_PORT}")
+        raise TypeError(f"{packed} is not an address")
+    ip = socket.inet_ntoa((packed >> _PORT_BITS).to_bytes(4, "big"))
+    return NodeId(f"{ip}:{packed & _MAX_PORT}")
 
 
 def _reading_from_wire(
     raw: list[wire.ServiceReading] | None,
 ) -> dict[PoolId, Reading]:
     return {
-        PoolId(given(item.pool)): Reading(
-            float(max(0, given(item.tight))), float(max(0, given(item.other)))
+        PoolId(required(item.pool)): Reading(
+            float(max(0, required(item.tight))), float(max(0, required(item.other)))
         )
         for item in raw or ()
     }
@@ -347,15 +353,15 @@
 
 def _stream_from_wire(raw: wire.StreamSample) -> StreamSample:
     return StreamSample(
-        UpstreamId(given(raw.upstream)),
-        given(raw.pace_us) / _US,
-        given(raw.longest_pause_us) / _US,
+        UpstreamId(required(raw.upstream)),
+        required(raw.pace_us) / _US,
+        required(raw.longest_pause_us) / _US,
     )
 
 
-def _to_wire(record: KeyedRecord) -> wire.KeyedRecord:
+def _record_to_wire(record: KeyedRecord) -> wire.KeyedRecord:
     return wire.KeyedRecord(record.offset, record.key, record.value or b"")
 
 
-def _from_wire(raw: wire.KeyedRecord) -> KeyedRecord:
-    return KeyedRecord(given(raw.offset), given(raw.key), raw.value or None)
+def _record_from_wire(raw: wire.KeyedRecord) -> KeyedRecord:
+    return KeyedRecord(required(raw.offset), required(raw.key), raw.value or None)
--- a/src/rudderpass/gossip/_digest.py
+++ b/src/rudderpass/gossip/_digest.py
@@ -1,4 +1,4 @@
-"""What a relay sums up of the hosts that it hears."""
+"""Summaries that relays send of the hosts they hear from."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One host, as a relay of its availability zone heard it.
+    """State of one host, as last heard by a relay of its availability zone.
 
-    :param number: of its newest beat that the digest's sums hold.
-    :param age: seconds since that beat was heard.
-    :param link_mbps: what its link carries, Mbit/s.
+    :param number: of its newest heartbeat included in the digest's sums.
+    :param age: seconds since that heartbeat was received.
+    :param link_mbps: capacity of its link, Mbit/s.
     """
 
     host: NodeId
@@ -31,21 +31,21 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """Sums over the hosts of one availability zone, or of all.
+    """Sums over the hosts of one availability zone, or of all zones.
 
-    :param is_whole: whether it is of all zones; then it is for the relay's own zone.
-    :param members: the hosts by zone; of other zones they are named now and then only.
-    :param loads: the work under way at each upstream.
-    :param reading: what the hosts give the engines of each service to read.
+    :param covers_all_zones: true in digests for hosts of the relay's own zone.
+    :param members: the hosts by zone; those of other zones are not in every digest.
+    :param loads: the requests in flight at each upstream.
+    :param reading: prompt tokens per second sent to each service's engines.
     """
 
-    is_whole: bool
+    covers_all_zones: bool
     members: Mapping[AvailabilityZone, tuple[Member, ...]] = field(default_factory=dict)
     loads: Mapping[UpstreamId, Load] = field(default_factory=dict)
     reading: Mapping[PoolId, Reading] = field(default_factory=dict)
 
     def find_number(self, host: NodeId, zone: AvailabilityZone) -> int | None:
-        """Return which of a host's beats the sums hold."""
+        """Return the number of a host's newest heartbeat in the sums."""
         for member in self.members.get(zone, ()):
             if member.host == host:
                 return member.number
--- a/src/rudderpass/gossip/_duties.py
+++ b/src/rudderpass/gossip/_duties.py
@@ -1,4 +1,4 @@
-"""The duties in beats and in the platform's log, as structs."""
+"""Conversion of duties and usage counts to and from thrift structs."""
 
 from __future__ import annotations
 
@@ -7,62 +7,62 @@
 from rudderpass.duties import DutyHolder, HostUsage, SettledUsage, WindowUsage
 from rudderpass.errors import PeerError
 from rudderpass.gossip._gen.wire import ttypes as wire
-from rudderpass.gossip._wire import MAX_I32, given
+from rudderpass.gossip._wire import MAX_I32, required
 
 
 def usage_to_wire(usage: HostUsage) -> wire.HostUsage:
-    """Return the struct of what a host has counted."""
+    """Return the struct for a host's usage counts."""
     return wire.HostUsage(
         usage.start, usage.closed_before, [_window_to_wire(w) for w in usage.windows]
     )
 
 
 def usage_from_wire(raw: wire.HostUsage) -> HostUsage:
-    """Return what a struct tells of a host's counts.
+    """Return the usage counts in a struct.
 
     :raises TypeError: when a field is missing.
     """
     return HostUsage(
-        given(raw.started_ms),
-        given(raw.closed_before),
+        required(raw.started_ms),
+        required(raw.closed_before),
         tuple(_window_from_wire(item) for item in raw.windows or ()),
     )
 
 
 def encode_duty_holder(holder: DutyHolder) -> bytes:
-    """Return a claim as it stands in the log."""
+    """Return the log record of a claim to the duties."""
     return encode_struct(wire.DutyHolder(holder.host, holder.start))
 
 
 def decode_duty_holder(data: bytes) -> DutyHolder:
-    """Return the claim in a record.
+    """Return the claim in a log record.
 
-    :raises PeerError: when the bytes are none.
+    :raises PeerError: when the bytes are not a valid claim.
     """
     raw = decode_struct(wire.DutyHolder(), data)
     try:
-        return DutyHolder(NodeId(given(raw.host)), given(raw.start))
+        return DutyHolder(NodeId(required(raw.host)), required(raw.start))
     except TypeError as error:
-        raise PeerError(f"incomplete claim: {error}", step="decode") from error
+        raise PeerError(f"invalid duty claim: {error}", step="decode") from error
 
 
 def encode_settled_usage(usage: SettledUsage) -> bytes:
-    """Return settled usage as it stands in the log."""
+    """Return the log record of settled usage."""
     windows = [_window_to_wire(window) for window in usage.windows]
     return encode_struct(wire.SettledUsage(usage.next_window, windows))
 
 
 def decode_settled_usage(data: bytes) -> SettledUsage:
-    """Return the settled usage in a record.
+    """Return the settled usage in a log record.
 
-    :raises PeerError: when the bytes are none.
+    :raises PeerError: when the bytes are not valid settled usage.
     """
     raw = decode_struct(wire.SettledUsage(), data)
     try:
         windows = tuple(_window_from_wire(item) for item in raw.windows or ())
-        return SettledUsage(given(raw.next_window), windows)
+        return SettledUsage(required(raw.next_window), windows)
     except TypeError as error:
-        raise PeerError(f"incomplete usage: {error}", step="decode") from error
+        raise PeerError(f"invalid settled usage: {error}", step="decode") from error
 
 
 def _window_to_wire(usage: WindowUsage) -> wire.WindowUsage:
@@ -72,6 +72,6 @@
 
 def _window_from_wire(raw: wire.WindowUsage) -> WindowUsage:
     return WindowUsage(
-        given(raw.window),
+        required(raw.window),
         {TeamId(team): max(0, count) for team, count in (raw.counts or {}).items()},
     )
--- a/src/rudderpass/gossip/_heartbeat.py
+++ b/src/rudderpass/gossip/_heartbeat.py
@@ -14,26 +14,26 @@
 
 
 @dataclass(frozen=True)
-class Beat:
-    """What a host tells a peer of itself, several times a second.
+class Heartbeat:
+    """State of a host, sent to peers several times a second.
 
-    :param sender: its address, which the datagram brings.
+    :param sender: its address, taken from the datagram.
     :param config_offset: of the configuration in force there.
-    :param upstreams_end: how far it has followed the list of upstreams.
-    :param loads: its work under way; None where it does not tell it.
-    :param prompts: those sent since the last beat.
-    :param peers: some live peers, so that all hosts come to know one another.
-    :param warm: whether it knows what the upstreams keep in their caches.
-    :param following: whether it hears the platform's store by itself.
-    :param streams: what streams that ended since the last beat showed.
-    :param reading: what its requests give the engines of each service to read.
+    :param upstreams_end: offset up to which it has followed the upstream list.
+    :param loads: its requests in flight at each upstream; None if not reported.
+    :param prompts: those sent to upstreams since the last heartbeat.
+    :param peers: some live peers, so that all hosts learn of one another.
+    :param warm: whether it knows the contents of the upstreams' caches.
+    :param following: whether it follows the platform's store itself.
+    :param streams: samples of streams that ended since the last heartbeat.
+    :param reading: prompt tokens per second that it sends to each service's engines.
     :param zone: its availability zone.
-    :param number: counts its beats.
-    :param digest: what it sums up of other hosts, if it is a relay.
-    :param link_mbps: what its link carries, Mbit/s; 0 where it does not say.
+    :param number: sequence number of its heartbeat.
+    :param digest: summary of other hosts, if it is a relay.
+    :param link_mbps: capacity of its link, Mbit/s; 0 if not reported.
     :param suspects: requests that may crash upstreams.
-    :param duty: what it knows of the holder of the duties, where there are any.
-    :param usage: what it has counted for the usage reports.
+    :param duty: what it knows of the holder of the duties, if there are any.
+    :param usage: its counts for the usage reports.
     :param rate_limits: rate limits reported by upstreams.
     :param leaving: upstreams that reported that they are leaving.
     """
--- a/src/rudderpass/gossip/_peer_table.py
+++ b/src/rudderpass/gossip/_peer_table.py
@@ -1,4 +1,4 @@
-"""Who the other hosts are, whom to tell, and from whom to fetch what is missed."""
+"""The known peers: which are live, which to notify, and which to fetch state from."""
 
 from __future__ import annotations
 
@@ -11,62 +11,64 @@
 from rudderpass.exchange import HostRank
 from rudderpass.gossip._digest import Digest, Member
 from rudderpass.gossip._hashing import hash_host
-from rudderpass.gossip._heartbeat import Beat
+from rudderpass.gossip._heartbeat import Heartbeat
 
 LIVE_SECONDS = 3.0
-"""A peer not heard for so long is taken as gone; beats come every half second, and two
-in a hundred are lost on bad days."""
+"""A peer not heard from for this long counts as dead. Heartbeats are sent every half
+second, and up to 2 % of them are lost."""
 
 REPLACED_SECONDS = 60.0
-"""An isolated host ranks its silent peers for this long. After that they are treated as
-replaced, even if they are only unreachable."""
+"""How long an isolated host includes silent peers in its ranking. After that they count
+as replaced, even if they are only unreachable."""
 
-SOURCE_SECONDS = 1.2
-"""A host that follows the store for others is replaced when it was not heard for so
-long. It beats twice a second, and news must be in force within 2 to 3 s."""
+FOLLOWER_TIMEOUT_SECONDS = 1.2
+"""A store follower not heard from for this long is replaced. It sends two heartbeats a
+second, and changes must be in force within 2 to 3 s."""
 
 CANDIDATE_SECONDS = 6.0
-"""A peer that heard the store so lately may take over the duties. Hosts of a small
-deployment hear it every 2.5 s, so that whoever heard it in the last second changes."""
+"""A peer that heard from the store within this time may take over the duties. Hosts of
+small deployments hear from it every 2.5 s, so the set that did so in the last second
+keeps changing."""
 
 FANOUT = 100
-"""Peers told in one beat; with more hosts, each beat goes to some drawn at random. What
-few hear of is unknown to the others, which have prompts read again."""
+"""Receivers of one heartbeat; with more hosts, each goes to a random sample. Hosts that
+miss it do not know which prompts are cached, and have upstreams prefill them again."""
 
-DEAD_FANOUT = 1
-"""Silent peers told in one beat, so that hosts find one another again after a cut."""
+SILENT_FANOUT = 1
+"""Silent peers among the receivers, so that hosts reconnect after a partition."""
 
-SHARED_PEERS = 2
-"""Live peers named in a beat that names any."""
+PEER_SAMPLE_SIZE = 2
+"""Live peers listed in a heartbeat that lists any."""
 
-NAMING_BEATS = 8
-"""One beat in so many names peers: the store lists them too, and each name takes 15
-bytes where the rest of a beat has 30 to 90."""
+HEARTBEATS_PER_PEER_SAMPLE = 8
+"""One heartbeat in this many lists peers: the store lists them too, and each address
+takes 15 bytes while the rest of a heartbeat has 30 to 90."""
 
 MAX_PEERS = 2000
-"""Addresses remembered; far above the 400 hosts of the two-year size."""
+"""Maximum number of addresses kept; far above the 400 hosts planned for two years from
+now."""
 
-SPENDING_SECONDS = 60.0
-"""A peer heard so lately still counts as one that shares the system's budgets: it may
-be cut off and go on spending, and what a dead one spent counts for a window of 10 s.
-"""
+BUDGET_SHARE_SECONDS = 60.0
+"""A peer heard from within this time still counts as sharing the system's budgets: it
+may be partitioned and keep spending, and the spending of a dead one counts for a window
+of 10 s."""
 
 MIN_HOSTS = 8
-"""Hosts assumed to share the system's budgets when none is heard: more assumed hosts
-mean a smaller share, so a host that is cut off stays within the budget."""
+"""Hosts assumed to share the system's budgets when no peer is live: more assumed hosts
+mean a smaller share, so an isolated host stays within the budget."""
 
 BEHIND_SECONDS = 0.3
-"""How long a host that follows the store may be behind a peer before it fetches the
-peer's state. The store tells all its followers within milliseconds."""
+"""How long a store follower may be behind a peer before it fetches the peer's state.
+The store notifies all its followers within milliseconds."""
 
 
 @dataclass
 class _Peer:
-    """What is known of a peer.
+    """Last known state of a peer.
 
-    :ivar heard: when it spoke last, to this host or to a relay.
-    :ivar heard_directly: when it spoke last to this host.
-    :ivar followed: when it last said that it hears the platform's store.
+    :ivar heard: when this host or a relay last heard from it.
+    :ivar heard_directly: when this host itself last heard from it.
+    :ivar followed: when it last reported that it follows the platform's store.
     """
 
     heard: float = float("-inf")
@@ -81,23 +83,23 @@
     followed: float = float("-inf")
     holds_duties: bool = False
 
-    def learn(
-        self, told: Beat | Member, zone: AvailabilityZone | None, heard: float
+    def update(
+        self, report: Heartbeat | Member, zone: AvailabilityZone | None, heard: float
     ) -> None:
-        """Take what the peer said of itself, in a beat or by a relay."""
+        """Apply a report from the peer itself or from a relay."""
         self.heard = heard
         self.zone = zone
-        self.link_mbps = told.link_mbps
-        self.config_offset = told.config_offset
-        self.upstreams_end = told.upstreams_end
-        self.stopping = told.stopping
-        self.warm = told.warm
-        self.following = told.following
-        if told.following:
+        self.link_mbps = report.link_mbps
+        self.config_offset = report.config_offset
+        self.upstreams_end = report.upstreams_end
+        self.stopping = report.stopping
+        self.warm = report.warm
+        self.following = report.following
+        if report.following:
             self.followed = heard
 
 
-class Mesh:
+class PeerTable:
     """This host's view of its peers.
 
     :param rng: seeded by the caller, so that a run can be repeated.
@@ -114,40 +116,40 @@
         self._behind_since: float | None = None
 
     def add(self, peers: Iterable[NodeId]) -> None:
-        """Learn of peers that may exist."""
+        """Add peers that may exist."""
         for peer in peers:
             if peer != self._own and len(self._peers) < MAX_PEERS:
                 self._peers.setdefault(peer, _Peer())
 
-    def take_beat(self, beat: Beat, now: float) -> bool:
-        """Take a beat; tell whether its sender was not live before."""
-        self.add([beat.sender, *beat.peers])
-        peer = self._peers.get(beat.sender)
+    def receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Process a heartbeat; return whether its sender was not live before."""
+        self.add([heartbeat.sender, *heartbeat.peers])
+        peer = self._peers.get(heartbeat.sender)
         if peer is None:
             return False
-        is_news = not self._is_live(peer, now)
+        is_new = not self._is_live(peer, now)
         peer.heard_directly = now
-        peer.holds_duties = beat.duty is not None and beat.duty.holds
-        peer.learn(beat, beat.zone, now)
-        return is_news
+        peer.holds_duties = heartbeat.duty is not None and heartbeat.duty.holds
+        peer.update(heartbeat, heartbeat.zone, now)
+        return is_new
 
-    def take_digest(self, digest: Digest, now: float) -> None:
-        """Take what a relay heard of its hosts, and of other relays' ones."""
+    def merge_digest(self, digest: Digest, now: float) -> None:
+        """Merge a relay's reports on the hosts of its own zone and of other zones."""
         for zone, members in digest.members.items():
             self.add(member.host for member in members)
             for member in members:
-                self._take_member(zone, member, now - member.age)
+                self._merge_member(zone, member, now - member.age)
 
-    def _take_member(
+    def _merge_member(
         self, zone: AvailabilityZone, member: Member, heard: float
     ) -> None:
         peer = self._peers.get(member.host)
         if peer is None or heard <= peer.heard:
             return
-        peer.learn(member, zone, heard)
+        peer.update(member, zone, heard)
 
     def describe(self, name: NodeId, number: int, now: float) -> Member:
-        """Return what is known of a peer, to be told in a digest."""
+        """Return a peer's entry for a digest."""
         peer = self._peers[name]
         return Member(
             name,
@@ -162,11 +164,11 @@
         )
 
     def link_mbps(self, name: NodeId) -> int:
-        """Return what a peer's link carries, Mbit/s; 0 where it does not say."""
+        """Return the capacity of a peer's link, Mbit/s; 0 if not reported."""
         return self._peers[name].link_mbps
 
     def live_in(self, zone: AvailabilityZone, now: float) -> list[NodeId]:
-        """Return the peers of an availability zone that were heard lately."""
+        """Return the live peers of an availability zone that are not stopping."""
         return [
             name
             for name, peer in self._peers.items()
@@ -183,21 +185,21 @@
         return sorted(zones)
 
     def heard_directly(self, name: NodeId) -> float:
-        """Return when a peer spoke last to this host itself; minus infinity: never."""
+        """Return when this host last heard from a peer directly; -infinity if never."""
         return self._peers[name].heard_directly
 
     def live(self, now: float) -> list[NodeId]:
-        """Return the peers heard lately."""
+        """Return the live peers."""
         return [name for name, peer in self._peers.items() if self._is_live(peer, now)]
 
     def count_hosts(self, now: float) -> int:
         """Return how many hosts share the system's budgets, this one included."""
-        spending = sum(
-            now - peer.heard <= SPENDING_SECONDS for peer in self._peers.values()
+        sharing = sum(
+            now - peer.heard <= BUDGET_SHARE_SECONDS for peer in self._peers.values()
         )
-        if spending * 2 < self._heard_count or not self.live(now):
+        if sharing * 2 < self._heard_count or not self.live(now):
             return max(MIN_HOSTS, self._heard_count + 1)
-        return spending + 1
+        return sharing + 1
 
     def rank_host(self, key: str, now: float) -> HostRank:
         """Return this host's rendezvous rank among the hosts that are not stopping."""
@@ -220,25 +222,25 @@
         return sum(peer.heard > float("-inf") for peer in self._peers.values())
 
     def targets(self, now: float) -> list[NodeId]:
-        """Return whom to tell in the next beat where each host tells all others."""
-        return self._draw(self.live(now), FANOUT) + self.draw_silent(now)
+        """Return the receivers of the next heartbeat where no relays are used."""
+        return self._sample(self.live(now), FANOUT) + self.sample_silent(now)
 
-    def draw_silent(self, now: float) -> list[NodeId]:
-        """Return some silent peers to be told, so that hosts find one another again."""
-        return self._draw(self.silent(now), DEAD_FANOUT)
+    def sample_silent(self, now: float) -> list[NodeId]:
+        """Return some silent peers to notify, so that hosts find one another again."""
+        return self._sample(self.silent(now), SILENT_FANOUT)
 
-    def has_informed(self, now: float) -> bool:
-        """Tell whether any live peer has a configuration."""
+    def has_configured_peer(self, now: float) -> bool:
+        """Return whether any live peer has a configuration."""
         return any(self._peers[name].config_offset >= 0 for name in self.live(now))
 
-    def warm_peer(self, now: float) -> NodeId | None:
-        """Return a live peer that knows what the upstreams keep."""
+    def choose_warm_peer(self, now: float) -> NodeId | None:
+        """Return a random live peer that knows what the upstreams' caches hold."""
         warm = [name for name in self.live(now) if self._peers[name].warm]
         return self._rng.choice(warm) if warm else None
 
-    def named(self, now: float) -> tuple[NodeId, ...]:
-        """Return some live peers to be named in a beat."""
-        return tuple(self._draw(self.live(now), SHARED_PEERS))
+    def sample_live(self, now: float) -> tuple[NodeId, ...]:
+        """Return some live peers to list in a heartbeat."""
+        return tuple(self._sample(self.live(now), PEER_SAMPLE_SIZE))
 
     @property
     def known(self) -> list[NodeId]:
@@ -246,14 +248,14 @@
         return list(self._peers)
 
     def silent(self, now: float) -> list[NodeId]:
-        """Return the peers that were not heard lately."""
+        """Return the peers that are not live."""
         return [
             name for name, peer in self._peers.items() if not self._is_live(peer, now)
         ]
 
-    def sources(self, now: float) -> list[NodeId]:
-        """Return the peers that hear the store by themselves, as their beats say."""
-        return [name for name in self._peers if self._is_source(name, now)]
+    def store_followers(self, now: float) -> list[NodeId]:
+        """Return the peers that recently reported that they follow the store."""
+        return [name for name in self._peers if self._is_store_follower(name, now)]
 
     def candidates(self, now: float) -> list[NodeId]:
         """Return the peers that may take over the duties."""
@@ -264,23 +266,24 @@
             and not self._peers[name].stopping
         ]
 
-    def gatherers(self, now: float) -> list[NodeId]:
+    def usage_collectors(self, now: float) -> list[NodeId]:
         """Return the peers that hold the duties or may take them over."""
         holders = {name for name in self.live(now) if self._peers[name].holds_duties}
         return sorted(holders.union(self.candidates(now)))
 
     @property
     def last_heard(self) -> float | None:
-        """When any peer spoke last to this host; None where none has."""
+        """When this host last heard from any peer; None for never."""
         heard = max((p.heard_directly for p in self._peers.values()), default=-math.inf)
         return None if heard == -math.inf else heard
 
-    def ahead(
-        self, config_offset: int, upstreams_end: int, follows: bool, now: float
+    def choose_peer_ahead(
+        self, config_offset: int, upstreams_end: int, follows_store: bool, now: float
     ) -> NodeId | None:
-        """Return a live peer that has been ahead of this host for long enough.
+        """Return a random live peer that is ahead of this host, or None.
 
-        :param follows: whether this host hears the store by itself.
+        :param follows_store: whether this host follows the store itself; then the store
+            has BEHIND_SECONDS to catch this host up.
         """
         ahead = [
             name
@@ -293,18 +296,18 @@
             return None
         if self._behind_since is None:
             self._behind_since = now
-        if follows and now - self._behind_since < BEHIND_SECONDS:
+        if follows_store and now - self._behind_since < BEHIND_SECONDS:
             return None
         return self._rng.choice(ahead)
 
-    def _is_source(self, name: NodeId, now: float) -> bool:
+    def _is_store_follower(self, name: NodeId, now: float) -> bool:
         peer = self._peers[name]
-        return peer.following and now - peer.heard <= SOURCE_SECONDS
+        return peer.following and now - peer.heard <= FOLLOWER_TIMEOUT_SECONDS
 
     def _is_live(self, peer: _Peer, now: float) -> bool:
         return now - peer.heard <= LIVE_SECONDS
 
-    def _draw(self, names: list[NodeId], most: int) -> list[NodeId]:
-        if len(names) <= most:
+    def _sample(self, names: list[NodeId], limit: int) -> list[NodeId]:
+        if len(names) <= limit:
             return names
-        return self._rng.sample(names, most)
+        return self._rng.sample(names, limit)
--- a/src/rudderpass/gossip/_rate_limits.py
+++ b/src/rudderpass/gossip/_rate_limits.py
@@ -7,15 +7,15 @@
 from rudderpass._ids import UpstreamId
 from rudderpass.exchange import RateLimitNews
 from rudderpass.gossip._gen.wire import ttypes as wire
-from rudderpass.gossip._wire import MAX_I32, given
+from rudderpass.gossip._wire import MAX_I32, required
 
 _MS = 1000.0
 
 
-def rate_limit_to_wire(news: RateLimitNews) -> wire.RateLimit:
+def rate_limit_to_wire(report: RateLimitNews) -> wire.RateLimit:
     """Return the struct for one upstream's rate limit."""
-    age = min(MAX_I32, round(news.age * _MS))
-    return wire.RateLimit(news.upstream, age, news.rate)
+    age = min(MAX_I32, round(report.age * _MS))
+    return wire.RateLimit(report.upstream, age, report.rate)
 
 
 def rate_limit_from_wire(raw: wire.RateLimit) -> RateLimitNews:
@@ -26,5 +26,5 @@
     if raw.rate is not None and not 0.0 <= raw.rate < math.inf:
         raise TypeError(f"invalid rate: {raw.rate}")
     return RateLimitNews(
-        UpstreamId(given(raw.upstream)), raw.rate, max(0, given(raw.age_ms)) / _MS
+        UpstreamId(required(raw.upstream)), raw.rate, max(0, required(raw.age_ms)) / _MS
     )
--- a/src/rudderpass/gossip/_store_following.py
+++ b/src/rudderpass/gossip/_store_following.py
@@ -1,35 +1,35 @@
-"""Which hosts follow the platform's store, and which hear of it from their peers."""
+"""Choice of the hosts that follow the platform's store; peers inform the others."""
 
 from __future__ import annotations
 
 import xxhash
 
 from rudderpass._ids import NodeId
-from rudderpass.gossip._peer_table import Mesh
+from rudderpass.gossip._peer_table import PeerTable
 
 FOLLOW_ALL_BELOW = 16
-"""Up to here every host follows the store: calls to it cost 0.003 of worth on 7 or 8
-hosts, and 0.086 on 71."""
+"""Below this number of hosts, every host follows the store: calls to it cost 0.003 of
+the attainable response value with 7 or 8 hosts, and 0.086 with 71."""
 
 FOLLOWERS = 3
-"""Of more hosts, so many follow the store and the others hear them."""
+"""Number of store followers in larger deployments; the other hosts learn from them."""
 
-STARTERS = 2 * FOLLOWERS
-"""When no follower is heard yet, as after all hosts were killed, so many follow at
-once: twice as many as are needed, since some may not have come back."""
+STARTUP_FOLLOWERS = 2 * FOLLOWERS
+"""Hosts that follow the store while none has heard from a follower, as after a crash of
+all hosts: twice as many as needed, since some may not have come back."""
 
 START_SECONDS = 0.8
-"""How long a starting host waits to hear a follower before it goes to the store by
-itself. Hosts killed together are back within 0.3 s of one another and hear the first
-followers some 10 ms later; callers are refused meanwhile."""
+"""How long a starting host waits for a follower's heartbeat before it calls the store
+itself. Hosts killed together are back within 0.3 s of one another and hear from the
+first followers some 10 ms later; requests are refused meanwhile."""
 
 
 class FollowRule:
     """Decides whether this host follows the store.
 
-    The hosts stand in one order, the same for all. A host follows unless enough of
-    those before it are heard to do so; so another takes the place of one that is lost
-    or that the store turns away.
+    All hosts use the same order of hosts. A host follows the store unless enough of
+    those before it report that they do; so a follower that is lost, or that the store
+    rejects, is replaced by the next one.
 
     :param started: when the host started, on the clock of the other calls.
 
@@ -38,53 +38,53 @@
     .. versionadded:: 0.2
     """
 
-    def __init__(self, own: NodeId, mesh: Mesh, started: float) -> None:
+    def __init__(self, own: NodeId, peers: PeerTable, started: float) -> None:
         self._own = own
-        self._mesh = mesh
+        self._peers = peers
         self._started = started
-        self._is_acquainted = False
+        self._are_peers_listed = False
 
-    def note_acquainted(self) -> None:
-        """Take note that the peers have been looked up, or cannot be."""
-        self._is_acquainted = True
+    def record_peers_listed(self) -> None:
+        """Record that the list of peers has been fetched, or cannot be."""
+        self._are_peers_listed = True
 
     def is_starting(self, now: float) -> bool:
-        """Tell whether the host is too young to be heard by all of its peers."""
+        """Return whether the host is too new for all peers to have heard from it."""
         return now - self._started < START_SECONDS
 
     def count_hosts(self, now: float) -> int:
-        """Return how many hosts there are; while it starts, how many there may be."""
-        hosts = len(self._mesh.live(now)) + 1
+        """Return the number of live hosts; while the host starts, of all known ones."""
+        hosts = len(self._peers.live(now)) + 1
         if self.is_starting(now):
-            hosts = max(hosts, len(self._mesh.known) + 1)
+            hosts = max(hosts, len(self._peers.known) + 1)
         return hosts
 
     def is_large(self, now: float) -> bool:
-        """Tell whether only some hosts follow the store."""
+        """Return whether only some hosts follow the store."""
         return self.count_hosts(now) >= FOLLOW_ALL_BELOW
 
     def should_follow(self, now: float) -> bool:
-        """Tell whether this host is to follow the store."""
-        if self.is_starting(now) and not self._is_acquainted:
+        """Return whether this host is to follow the store."""
+        if self.is_starting(now) and not self._are_peers_listed:
             return False
         if not self.is_large(now):
             return True
-        sources = self._mesh.sources(now)
-        if self._count_before(sources) >= FOLLOWERS:
+        followers = self._peers.store_followers(now)
+        if self._count_before(followers) >= FOLLOWERS:
             return False
         if not self.is_starting(now):
             return True
-        return self._count_before(self._mesh.known) < STARTERS
+        return self._count_before(self._peers.known) < STARTUP_FOLLOWERS
 
     def count_candidates_before(self, now: float) -> int:
-        """Return how many of those that may take over the duties come before it."""
-        return self._count_before(self._mesh.candidates(now))
+        """Return how many candidates for the duties come before this host."""
+        return self._count_before(self._peers.candidates(now))
 
     def _count_before(self, names: list[NodeId]) -> int:
         own = _rank(self._own)
         return sum(_rank(name) < own for name in names)
 
 
-def _rank(node: NodeId) -> int:
-    """Return a host's place in an order that favours no availability zone."""
-    return xxhash.xxh64_intdigest(node.encode())
+def _rank(host: NodeId) -> int:
+    """Return a host's rank, in an order that favours no availability zone."""
+    return xxhash.xxh64_intdigest(host.encode())
--- a/src/rudderpass/gossip/_suspects.py
+++ b/src/rudderpass/gossip/_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that may crash upstreams, as structs and in a host's record."""
+"""Conversion of requests that may crash upstreams to and from thrift structs."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from rudderpass._thrift import decode_struct, encode_struct
 from rudderpass.errors import PeerError
 from rudderpass.gossip._gen.wire import ttypes as wire
-from rudderpass.gossip._wire import MAX_I32, given
+from rudderpass.gossip._wire import MAX_I32, required
 from rudderpass.quarantine import MAX_CRASHES, Crash, SuspectNews
 
 _MS = 1000.0
 
 
-def suspect_to_wire(news: SuspectNews) -> wire.Suspect:
-    """Return the struct of what is told of one request."""
+def suspect_to_wire(report: SuspectNews) -> wire.Suspect:
+    """Return the struct for one suspect request."""
     return wire.Suspect(
-        news.fingerprint,
-        news.team,
+        report.fingerprint,
+        report.team,
         [
             wire.Crash(
                 crash.upstream, _ms(crash.sent), _ms(crash.at), crash.silent or None
             )
-            for crash in news.crashes
+            for crash in report.crashes
         ],
-        None if news.served is None else _ms(news.served),
-        None if news.trial is None else _ms(news.trial),
+        None if report.served is None else _ms(report.served),
+        None if report.trial is None else _ms(report.trial),
     )
 
 
 def suspect_from_wire(raw: wire.Suspect) -> SuspectNews:
-    """Return what a struct tells.
+    """Return the suspect request in a struct.
 
     :raises TypeError: when a field is missing.
     """
     return SuspectNews(
-        Fingerprint(bytes(given(raw.fingerprint))),
+        Fingerprint(bytes(required(raw.fingerprint))),
         None if raw.team is None else TeamId(raw.team),
         tuple(_crash_from_wire(crash) for crash in (raw.crashes or ())[:MAX_CRASHES]),
         None if raw.served_ms is None else _seconds(raw.served_ms),
@@ -48,45 +48,46 @@
 def encode_host_record(
     zone: AvailabilityZone, quarantined: Iterable[SuspectNews], written: float
 ) -> bytes:
-    """Return what a host keeps of itself in the platform's log.
+    """Return the record that a host keeps of itself in the platform's log.
 
-    :param written: Unix time, from which the ages count.
+    :param written: Unix time to which the ages refer.
     """
-    suspects = [suspect_to_wire(news) for news in quarantined]
+    suspects = [suspect_to_wire(report) for report in quarantined]
     return encode_struct(wire.HostRecord(zone, suspects, round(written * _MS)))
 
 
 def decode_quarantined(data: bytes, now: float) -> tuple[SuspectNews, ...]:
-    """Return the requests in a host's record, with the ages of ``now``, Unix time.
+    """Return the quarantined requests in a host's record.
 
-    :raises PeerError: when the bytes are no such record.
+    :param now: Unix time to which the returned ages refer.
+    :raises PeerError: when the bytes are not a valid host record.
     """
     raw = decode_struct(wire.HostRecord(), data)
     try:
-        passed = max(0.0, now - (raw.written_ms or 0) / _MS)
+        elapsed = max(0.0, now - (raw.written_ms or 0) / _MS)
         suspects = [suspect_from_wire(item) for item in raw.quarantined or ()]
     except TypeError as error:
-        raise PeerError(f"incomplete record: {error}", step="decode") from error
-    return tuple(_age(news, passed) for news in suspects)
+        raise PeerError(f"invalid host record: {error}", step="decode") from error
+    return tuple(_add_age(report, elapsed) for report in suspects)
 
 
-def _age(news: SuspectNews, passed: float) -> SuspectNews:
+def _add_age(report: SuspectNews, elapsed: float) -> SuspectNews:
     return replace(
-        news,
+        report,
         crashes=tuple(
-            replace(crash, sent=crash.sent + passed, at=crash.at + passed)
-            for crash in news.crashes
+            replace(crash, sent=crash.sent + elapsed, at=crash.at + elapsed)
+            for crash in report.crashes
         ),
-        served=None if news.served is None else news.served + passed,
+        served=None if report.served is None else report.served + elapsed,
         trial=None,
     )
 
 
 def _crash_from_wire(raw: wire.Crash) -> Crash:
     return Crash(
-        UpstreamId(given(raw.upstream)),
-        _seconds(given(raw.sent_ms)),
-        _seconds(given(raw.age_ms)),
+        UpstreamId(required(raw.upstream)),
+        _seconds(required(raw.sent_ms)),
+        _seconds(required(raw.age_ms)),
         bool(raw.silent),
     )
 
--- a/src/rudderpass/gossip/_transport.py
+++ b/src/rudderpass/gossip/_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams for beats, and HTTP for a peer's whole state."""
+"""Transport of heartbeats in datagrams, and of a peer's state over HTTP."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from rudderpass.errors import PeerError
 from rudderpass.exchange import SentPrompt
 from rudderpass.gossip._codec import (
-    decode_beat,
+    decode_heartbeat,
     decode_prompts,
     decode_state,
-    encode_beat,
+    encode_heartbeat,
     encode_prompts,
     encode_state,
 )
-from rudderpass.gossip._heartbeat import Beat
+from rudderpass.gossip._heartbeat import Heartbeat
 from rudderpass.webserver import HttpServer, ServerLimits
 
 STATE_PATH = "/state"
 PROMPTS_PATH = "/prompts"
 FETCH_SECONDS = 0.8
-"""How long fetching a peer's state may take: another peer is asked soon after."""
+"""Time-out for fetching a peer's state; another peer is asked soon after."""
 
-MAX_DATAGRAM = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 
 MAX_BURST_BYTES = 16_000
 BURST_PAUSE_SECONDS = 0.02
-"""No more bytes are sent at once than a slow link's queue holds, and the pause is what
-a link of 5 Mbit/s takes to send most of them. Sent at once, the longest digests did not
-reach 27 of 87 hosts, the same ones for seconds, and 136 times in 31 s a host followed
-the store in vain; with pauses and an order of chance 3 times."""
+"""A burst fits into the queue of a slow link, and a link of 5 Mbit/s sends most of it
+during the pause. Sent at once, the longest digests did not reach 27 of 87 hosts, the
+same ones for seconds, and hosts followed the store needlessly 136 times in 31 s; with
+pauses and receivers in random order, 3 times."""
 
 _THREADS = 2
 _CONNECTIONS = 128
@@ -45,14 +45,14 @@
 
 
 class GossipTransport:
-    """Sends and receives beats, and hands states over.
+    """Sends and receives heartbeats, and serves this host's state to peers.
 
     :param address: ``ip:port``, for both UDP and TCP; also this host's id.
-    :param on_beat: told each beat that arrives.
-    :param on_bad: told of each datagram that cannot be read.
-    :param state: returns what a peer is missing, from the offsets of its configuration
+    :param on_heartbeat: called with each heartbeat that arrives.
+    :param on_error: called with each error in sending or receiving.
+    :param state: returns what a peer is missing, given the offsets of its configuration
         and of its list of upstreams.
-    :param prompts: returns what this host believes to be kept in caches.
+    :param prompts: returns the prompts that this host believes to be cached.
 
     .. versionadded:: 0.2
     """
@@ -60,14 +60,14 @@
     def __init__(
         self,
         address: str,
-        on_beat: Callable[[Beat], None],
-        on_bad: Callable[[PeerError], None],
+        on_heartbeat: Callable[[Heartbeat], None],
+        on_error: Callable[[PeerError], None],
         state: Callable[[int, int], DirectoryState],
         prompts: Callable[[], tuple[SentPrompt, ...]],
     ) -> None:
         host, _, port = address.rpartition(":")
-        self._on_beat = on_beat
-        self._on_bad = on_bad
+        self._on_heartbeat = on_heartbeat
+        self._on_error = on_error
         self._state = state
         self._prompts = prompts
         self._socket, self._server = self._bind(host, int(port))
@@ -80,11 +80,11 @@
 
     @property
     def address(self) -> NodeId:
-        """Where peers reach this host."""
+        """Address at which peers reach this host."""
         return self._address
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self._server.start()
         self._thread.start()
 
@@ -99,14 +99,14 @@
         self._socket.close()
         self._server.close()
 
-    def tell(self, beat: Beat, peers: Iterable[NodeId]) -> None:
-        """Send a beat to peers.
+    def send(self, heartbeat: Heartbeat, peers: Iterable[NodeId]) -> None:
+        """Send a heartbeat to peers.
 
-        :raises PeerError: when the beat does not fit into a datagram.
+        :raises PeerError: when the heartbeat does not fit into a datagram.
         """
-        data = encode_beat(beat)
-        if len(data) > MAX_DATAGRAM:
-            raise PeerError(f"a beat of {len(data)} bytes does not fit", step="tell")
+        data = encode_heartbeat(heartbeat)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise PeerError(f"heartbeat of {len(data)} bytes is too long", step="tell")
         burst = 0
         for peer in peers:
             if burst + len(data) > MAX_BURST_BYTES:
@@ -117,25 +117,25 @@
             try:
                 self._socket.sendto(data, (host, int(port)))
             except OSError as error:
-                text = f"beat not sent: {error}"
-                self._on_bad(PeerError(text, step="tell", peer=peer))
+                text = f"heartbeat not sent: {error}"
+                self._on_error(PeerError(text, step="tell", peer=peer))
                 continue
             self.sent_bytes += len(data)
 
     def fetch(
         self, peer: NodeId, config_offset: int, upstreams_end: int
     ) -> DirectoryState:
-        """Return what a peer knows beyond these offsets.
+        """Return the changes that a peer knows beyond these offsets.
 
-        :raises PeerError: when it does not answer.
+        :raises PeerError: when it does not answer, or not with a valid state.
         """
         path = f"{STATE_PATH}?{config_offset},{upstreams_end}"
         return decode_state(self._fetch(peer, path))
 
     def fetch_prompts(self, peer: NodeId) -> tuple[SentPrompt, ...]:
-        """Return what a peer believes to be kept in caches.
+        """Return the prompts that a peer believes to be cached.
 
-        :raises PeerError: when it does not answer.
+        :raises PeerError: when it does not answer, or not with valid prompts.
         """
         return decode_prompts(self._fetch(peer, PROMPTS_PATH))
 
@@ -151,14 +151,14 @@
             connection.close()
 
     def _bind(self, host: str, port: int) -> tuple[socket.socket, HttpServer]:
-        """Take one port for UDP and TCP; port 0 takes any that is free for both."""
+        """Bind one port for UDP and TCP; port 0 selects any that is free for both."""
         limits = ServerLimits(threads=_THREADS, connections=_CONNECTIONS)
         for attempt in range(_BIND_ATTEMPTS):
             datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
                 datagrams.bind((host, port))
-                taken = datagrams.getsockname()[1]
-                return datagrams, HttpServer(self._serve, f"{host}:{taken}", limits)
+                bound = datagrams.getsockname()[1]
+                return datagrams, HttpServer(self._serve, f"{host}:{bound}", limits)
             except OSError:
                 datagrams.close()
                 if port != 0 or attempt == _BIND_ATTEMPTS - 1:
@@ -191,21 +191,23 @@
             except OSError as error:
                 if self._stopping:
                     return
-                self._on_bad(PeerError(f"receive: {error}", step="receive"))
+                self._on_error(PeerError(f"receive failed: {error}", step="receive"))
                 continue
             if self._stopping:
                 return
             try:
-                self._on_beat(decode_beat(data, NodeId(f"{host}:{port}")))
+                self._on_heartbeat(decode_heartbeat(data, NodeId(f"{host}:{port}")))
             except PeerError as error:
-                self._on_bad(error)
+                self._on_error(error)
             except Exception as error:
-                # Whatever a beat brings must not end the hearing of all others.
-                self._on_bad(PeerError(f"beat not taken: {error!r}", step="beat"))
+                # A faulty heartbeat must not stop the receiving of all others.
+                self._on_error(
+                    PeerError(f"heartbeat not processed: {error!r}", step="beat")
+                )
 
 
 def _read_offsets(query: str) -> tuple[int, int]:
-    """Return the offsets a peer is at; one that names none gets everything."""
+    """Return the offsets in a peer's query; an invalid query gets everything."""
     config, _, upstreams = query.partition(",")
     try:
         return int(config), int(upstreams)
--- a/src/rudderpass/gossip/_wire.py
+++ b/src/rudderpass/gossip/_wire.py
@@ -1,4 +1,4 @@
-"""What all of the peers' structs have in common."""
+"""Helpers for converting thrift structs."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 _V = TypeVar("_V")
 
 MAX_I32 = 2**31 - 1
-"""Callers say how long their prompts are; a sum beyond this is told as this, so that an
-absurd one does not end the beats."""
+"""Upper bound of encoded numbers. Callers declare the length of their prompts, and an
+absurd sum must not stop the heartbeats."""
 
 
-def given(value: _V | None) -> _V:
-    """Return a field's value; thrift leaves out what the sender left out."""
+def required(value: _V | None) -> _V:
+    """Return a field's value; thrift leaves None where the sender omitted it."""
     if value is None:
         raise TypeError("a field is missing")
     return value
--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -38,7 +38,7 @@
 from rudderpass.errors import PlatformError
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore, count_busy
-from rudderpass.gossip import Beat, encode_duty_holder, encode_settled_usage
+from rudderpass.gossip import Heartbeat, encode_duty_holder, encode_settled_usage
 from rudderpass.host._duty_access import (
     HOLDER_KEY,
     USAGE_KEY,
@@ -144,7 +144,7 @@
             with self._guard:
                 self._counter.note_begun(team, moment)
 
-    def take(self, beat: Beat, now: float) -> None:
+    def take(self, beat: Heartbeat, now: float) -> None:
         """Take what a peer's beat tells; called under the guard."""
         if beat.duty is not None:
             self._keeper.hear(beat.duty, beat.stopping, now)
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -158,7 +158,7 @@
             NewsSources(
                 self._follower.read_now,
                 self._peers.greet_all,
-                self._peers.mesh.has_informed,
+                self._peers.mesh.has_configured_peer,
             ),
         )
         warmup = CacheWarmup(
@@ -367,7 +367,7 @@
     def _note_unanswered(self) -> None:
         """Let requests wait no longer for what nobody can tell this host now."""
         with self._guard:
-            knows_none = not self._peers.mesh.has_informed(_clock.now())
+            knows_none = not self._peers.mesh.has_configured_peer(_clock.now())
             if knows_none and not self._core.is_doubting:
                 self._settled.set()
 
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -15,11 +15,11 @@
 from rudderpass.exchange import ExchangeCore, SentPrompt
 from rudderpass.gossip import (
     CANDIDATE_SECONDS,
-    RELAY_FROM,
-    Beat,
+    MIN_HOSTS_FOR_RELAYS,
     FollowRule,
     GossipTransport,
-    Mesh,
+    Heartbeat,
+    PeerTable,
 )
 from rudderpass.host._duties import HostDuties
 from rudderpass.host._telling import Telling
@@ -90,7 +90,7 @@
         )
         own = self._transport.address
         self._rng = random.Random(own)
-        self._mesh = Mesh(own, self._rng)
+        self._mesh = PeerTable(own, self._rng)
         self._mesh.add(NodeId(seed) for seed in seeds)
         self._rule = FollowRule(own, self._mesh, _clock.now())
         self._telling = Telling(
@@ -109,7 +109,7 @@
         return self._transport.address
 
     @property
-    def mesh(self) -> Mesh:
+    def mesh(self) -> PeerTable:
         """This host's view of its peers; to be read under the guard."""
         return self._mesh
 
@@ -142,7 +142,7 @@
         now = _clock.now()
         with self._guard:
             self._mesh.add(peers)
-            self._rule.note_acquainted()
+            self._rule.record_peers_listed()
         self._greet_silent(now)
         self._choose_followers(now)
 
@@ -230,7 +230,7 @@
             if usage is None:
                 return
             beat = self._telling.tell_usage(usage, now)
-            targets = self._mesh.gatherers(now)
+            targets = self._mesh.usage_collectors(now)
         self._send_beat(beat, targets)
 
     @property
@@ -251,7 +251,7 @@
             holds_duties = self._duties is not None and self._duties.holds
             follows = self._rule.should_follow(now) or holds_duties
             self._is_large = self._rule.is_large(now)
-            self._is_relayed = self._rule.count_hosts(now) >= RELAY_FROM
+            self._is_relayed = self._rule.count_hosts(now) >= MIN_HOSTS_FOR_RELAYS
         if self._follower is None:
             return
         if follows is not self._follower.is_active:
@@ -266,9 +266,9 @@
             targets = self._mesh.silent(now)
         self._send_beat(beat, targets)
 
-    def _send_beat(self, beat: Beat, targets: list[NodeId]) -> None:
+    def _send_beat(self, beat: Heartbeat, targets: list[NodeId]) -> None:
         try:
-            self._transport.tell(beat, targets)
+            self._transport.send(beat, targets)
         except PeerError as error:
             self._note_error(error)
 
@@ -280,7 +280,7 @@
         with self._guard:
             offsets = self._directory.config_offset, self._directory.upstreams_end
             hears = self._hears_for_itself and not self._core.is_doubting
-            peer = self._mesh.ahead(*offsets, hears, now)
+            peer = self._mesh.choose_peer_ahead(*offsets, hears, now)
         if peer is None:
             return
         try:
@@ -293,7 +293,7 @@
             learned = self._directory.take_state(state, source, _clock.now())
         self._on_learned(learned)
 
-    def _take_beat(self, beat: Beat) -> None:
+    def _take_beat(self, beat: Heartbeat) -> None:
         now = _clock.now()
         with self._guard:
             is_news = self._telling.take(beat, now)
--- a/src/rudderpass/host/_telling.py
+++ b/src/rudderpass/host/_telling.py
@@ -20,13 +20,13 @@
     log_rate_limit,
 )
 from rudderpass.gossip import (
-    NAMING_BEATS,
-    Beat,
+    HEARTBEATS_PER_PEER_SAMPLE,
     Digest,
+    Heartbeat,
     Member,
-    Mesh,
-    Relaying,
-    choose_server,
+    PeerTable,
+    RelayRole,
+    assign_relay,
 )
 from rudderpass.learning import StreamSample
 from rudderpass.quarantine import SuspectNews
@@ -48,7 +48,7 @@
 class Message:
     """A beat and whom to send it to."""
 
-    beat: Beat
+    beat: Heartbeat
     targets: list[NodeId]
 
 
@@ -71,7 +71,7 @@
         zone: AvailabilityZone,
         link_mbps: int,
         core: ExchangeCore,
-        mesh: Mesh,
+        mesh: PeerTable,
         is_current: Callable[[float], bool],
         read_duty: Callable[[], DutyNews | None] = lambda: None,
     ) -> None:
@@ -82,7 +82,7 @@
         self._mesh = mesh
         self._is_current = is_current
         self._read_duty = read_duty
-        self._relaying = Relaying(own, zone, link_mbps, mesh)
+        self._relaying = RelayRole(own, zone, link_mbps, mesh)
         self._rng = random.Random(own)
         self._numbers: dict[NodeId, int] = {}
         self._number = 0
@@ -92,7 +92,7 @@
         """Whether this host sums up what others do."""
         return self._relaying.is_relay
 
-    def greet(self, now: float, is_relayed: bool) -> Beat:
+    def greet(self, now: float, is_relayed: bool) -> Heartbeat:
         """Return a beat for a peer that may not know this host."""
         return self._make_beat(
             now,
@@ -101,7 +101,7 @@
             rate_limits=self._core.rate_limits.describe(now),
         )
 
-    def tell_usage(self, usage: HostUsage, now: float) -> Beat:
+    def tell_usage(self, usage: HostUsage, now: float) -> Heartbeat:
         """Return a beat for hosts that gather the counts for the usage reports."""
         return self._make_beat(now, has_work=False, usage=usage)
 
@@ -123,13 +123,13 @@
             suspects=suspects,
             prompts=tuple(self._core.caches.drain()),
             streams=tuple(self._core.drain_streams()),
-            names_peers=self._number % NAMING_BEATS == 0,
+            names_peers=self._number % HEARTBEATS_PER_PEER_SAMPLE == 0,
             rate_limits=rate_limits,
         )
         if not is_relayed:
             self._core.loads.is_relay = self._relaying.is_relay = False
             return [Message(beat, self._mesh.targets(now))]
-        relays = self._relaying.choose(now)
+        relays = self._relaying.choose_zone_relays(now)
         self._core.loads.is_relay = self._relaying.is_relay
         messages = [
             Message(beat, [relay for relay in relays if relay != self._own]),
@@ -139,13 +139,13 @@
             ),
         ]
         if self._relaying.is_relay:
-            self._relaying.take(True, beat.prompts, beat.streams, now)
+            self._relaying.enqueue(True, beat.prompts, beat.streams, now)
             messages += self._compose_digests(relays, suspects, rate_limits, now)
         return [message for message in messages if message.targets]
 
-    def take(self, beat: Beat, now: float) -> bool:
+    def take(self, beat: Heartbeat, now: float) -> bool:
         """Take a peer's beat; tell whether the peer was not live before."""
-        is_news = self._mesh.take_beat(beat, now)
+        is_news = self._mesh.receive_heartbeat(beat, now)
         if beat.loads is not None:
             self._numbers[beat.sender] = beat.number
             self._core.take_work(
@@ -162,7 +162,7 @@
             self._take_digest(beat.digest, beat.zone, now)
         if self._relaying.is_relay:
             is_own_zone = beat.zone == self._zone
-            self._relaying.take(is_own_zone, beat.prompts, beat.streams, now)
+            self._relaying.enqueue(is_own_zone, beat.prompts, beat.streams, now)
         return is_news
 
     def forget_old(self, now: float) -> None:
@@ -174,19 +174,19 @@
     def _take_digest(
         self, digest: Digest, zone: AvailabilityZone | None, now: float
     ) -> None:
-        self._mesh.take_digest(digest, now)
+        self._mesh.merge_digest(digest, now)
         work = ToldWork(digest.loads, digest.reading)
-        if digest.is_whole and zone == self._zone:
+        if digest.covers_all_zones and zone == self._zone:
             number = digest.find_number(self._own, self._zone)
             self._core.loads.take_whole(work, number, now)
-        elif not digest.is_whole and zone is not None and zone != self._zone:
+        elif not digest.covers_all_zones and zone is not None and zone != self._zone:
             self._core.loads.take_zone(zone, work, now)
 
     def _presence_targets(
         self, relays: list[NodeId], has_store_news: bool, now: float
     ) -> list[NodeId]:
         """Return whom to tell that this host is there, besides the relays."""
-        targets = self._mesh.draw_silent(now)
+        targets = self._mesh.sample_silent(now)
         if self._number % PRESENCE_BEATS and not has_store_news:
             return targets
         if has_store_news or self._is_current(now) or self._holds_duties:
@@ -195,7 +195,7 @@
             hosts = [
                 host
                 for host in self._mesh.live_in(self._zone, now)
-                if choose_server(host, relays) != self._own
+                if assign_relay(host, relays) != self._own
             ]
         else:
             hosts = []
@@ -245,7 +245,7 @@
             rate_limits=rate_limits,
         )
         return [
-            Message(for_relays, self._relaying.choose_others(now)),
+            Message(for_relays, self._relaying.choose_remote_relays(now)),
             Message(for_zone, self._served(hosts, relays)),
         ]
 
@@ -257,7 +257,7 @@
         served = [
             host
             for host in hosts
-            if host not in relays and choose_server(host, relays) == self._own
+            if host not in relays and assign_relay(host, relays) == self._own
         ]
         self._rng.shuffle(served)
         return served
@@ -301,18 +301,18 @@
         suspects: tuple[SuspectNews, ...] = (),
         usage: HostUsage | None = None,
         rate_limits: tuple[RateLimitNews, ...] = (),
-    ) -> Beat:
+    ) -> Heartbeat:
         tells_work = has_work and digest is None
         directory = self._core.directory
         loads = self._core.loads
-        return Beat(
+        return Heartbeat(
             self._own,
             directory.config_offset,
             directory.upstreams_end,
             self._core.is_stopping,
             loads.own if tells_work else None,
             prompts,
-            self._mesh.named(now) if names_peers else (),
+            self._mesh.sample_live(now) if names_peers else (),
             self._core.is_warm,
             self._is_current(now),
             streams,
--- a/src/rudderpass/host/_warmup.py
+++ b/src/rudderpass/host/_warmup.py
@@ -19,7 +19,7 @@
 from rudderpass.errors import PeerError, UpstreamError
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore, PromptPart, SentPrompt
-from rudderpass.gossip import GossipTransport, Mesh
+from rudderpass.gossip import GossipTransport, PeerTable
 
 LISTEN_SECONDS = 0.6
 """How long a starting host listens for peers before it decides whom to ask; a live peer
@@ -41,7 +41,7 @@
     """What the warm-up needs of the host."""
 
     core: ExchangeCore
-    mesh: Mesh
+    mesh: PeerTable
     guard: threading.RLock
     transport: GossipTransport
     read_parts: PartsReader
@@ -79,7 +79,7 @@
 
     def _ask_peer(self) -> bool:
         with self._parts.guard:
-            peer = self._parts.mesh.warm_peer(_clock.now())
+            peer = self._parts.mesh.choose_warm_peer(_clock.now())
         if peer is None:
             return False
         try:
--- a/src/rudderpass/learning/_decay.py
+++ b/src/rudderpass/learning/_decay.py
@@ -1,4 +1,4 @@
-"""Sums that forget."""
+"""Exponentially decaying sums."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass
 class DecayingSum:
-    """A sum whose older parts count less. Times and half-lives are seconds."""
+    """A sum that decays exponentially. Times and half-lives are in seconds."""
 
     value: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def read(self, now: float, half_life: float) -> float:
-        """Return what is left of the sum."""
-        return float(self.value * 0.5 ** (max(0.0, now - self.at) / half_life))
+        """Return the sum decayed to ``now``."""
+        return float(self.value * 0.5 ** (max(0.0, now - self.updated_at) / half_life))
 
     def add(self, amount: float, now: float, half_life: float) -> None:
-        """Add to the sum."""
+        """Decay the sum to ``now`` and add an amount."""
         self.value = self.read(now, half_life) + amount
-        self.at = now
+        self.updated_at = now
--- a/tests/exchange/test_budget_over_losses.py
+++ b/tests/exchange/test_budget_over_losses.py
@@ -24,8 +24,8 @@
 
 from rudderpass._ids import NodeId, PoolId
 from rudderpass.exchange import BudgetRule, SharedRetryBudget
-from rudderpass.gossip import Mesh
-from tests.gossip.test_peer_table import beat
+from rudderpass.gossip import PeerTable
+from tests.gossip.test_peer_table import make_heartbeat
 
 SERVICE = PoolId("engines")
 RULE = BudgetRule(ratio=0.2, slack=54, window=10.0)
@@ -40,7 +40,7 @@
 
     def __init__(self, name: NodeId, now: float, is_first_start: bool) -> None:
         self.name = name
-        self.mesh = Mesh(name, random.Random(name))
+        self.mesh = PeerTable(name, random.Random(name))
         self.budget = SharedRetryBudget(RULE, None if is_first_start else now)
 
 
@@ -114,7 +114,7 @@
         for host in self.hosts.values():
             for sender in self.hosts:
                 if sender != host.name:
-                    host.mesh.take_beat(beat(sender), self.now)
+                    host.mesh.receive_heartbeat(make_heartbeat(sender), self.now)
 
     def _ask(self, mean: float) -> None:
         for host in self.hosts.values():
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -1,4 +1,4 @@
-"""Beats as bytes: all that a host tells, and bounds for what is absurd."""
+"""Encoding of heartbeats and duty records, and bounds for absurd values."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, Reading
 from rudderpass.gossip import (
-    Beat,
     Digest,
+    Heartbeat,
     Member,
     decode_duty_holder,
     decode_settled_usage,
     encode_duty_holder,
     encode_settled_usage,
 )
-from rudderpass.gossip._codec import decode_beat, encode_beat
+from rudderpass.gossip._codec import decode_heartbeat, encode_heartbeat
 from rudderpass.learning import StreamSample
 
 SENDER = NodeId("10.0.0.1:7000")
@@ -34,39 +34,41 @@
 POOL = PoolId("engines")
 
 
-def beat(
+def make_heartbeat(
     load: Load, streams: tuple[StreamSample, ...] = (), reading: Reading | None = None
-) -> Beat:
-    told = {} if reading is None else {POOL: reading}
-    return Beat(
-        SENDER, 3, 9, False, {UPSTREAM: load}, (), (), streams=streams, reading=told
+) -> Heartbeat:
+    rates = {} if reading is None else {POOL: reading}
+    return Heartbeat(
+        SENDER, 3, 9, False, {UPSTREAM: load}, (), (), streams=streams, reading=rates
     )
 
 
-def test_a_beat_brings_what_streams_showed_and_what_is_read() -> None:
-    sent = beat(
+def test_a_heartbeat_carries_stream_samples_and_prefill_rates() -> None:
+    sent = make_heartbeat(
         Load(3, 4000, 1.5, (0, 2, 1), (0, 3072, 1024)),
         (StreamSample(UPSTREAM, 0.0167, 0.21),),
         Reading(4000.0, 24_000.0),
     )
-    assert decode_beat(encode_beat(sent), SENDER) == sent
+    assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
 
 
-def test_a_beat_without_them_has_no_bytes_for_them() -> None:
-    with_none = encode_beat(beat(Load(1, 0, 0.0), (), Reading(0.2, 0.0)))
-    assert with_none == encode_beat(beat(Load(1, 0, 0.0)))
+def test_prefill_rates_that_round_to_zero_take_no_bytes() -> None:
+    with_none = encode_heartbeat(make_heartbeat(Load(1, 0, 0.0), (), Reading(0.2, 0.0)))
+    assert with_none == encode_heartbeat(make_heartbeat(Load(1, 0, 0.0)))
 
 
 @pytest.mark.parametrize("tokens", [2**31, 10**30], ids=str)
-def test_absurd_loads_do_not_end_the_beats(tokens: int) -> None:
-    sent = beat(Load(1, tokens, 0.0), (), Reading(float(tokens), float(tokens)))
-    got = decode_beat(encode_beat(sent), SENDER)
-    assert got.loads is not None
-    assert got.loads[UPSTREAM].unread_tokens == 2**31 - 1
-    assert got.reading[POOL].other == 2**31 - 1
+def test_absurd_loads_do_not_stop_the_heartbeats(tokens: int) -> None:
+    sent = make_heartbeat(
+        Load(1, tokens, 0.0), (), Reading(float(tokens), float(tokens))
+    )
+    received = decode_heartbeat(encode_heartbeat(sent), SENDER)
+    assert received.loads is not None
+    assert received.loads[UPSTREAM].unread_tokens == 2**31 - 1
+    assert received.reading[POOL].other == 2**31 - 1
 
 
-def test_a_digest_comes_back_as_it_was() -> None:
+def test_a_digest_survives_encoding() -> None:
     digest = Digest(
         True,
         {
@@ -79,17 +81,17 @@
         {UPSTREAM: Load(40, 90_000, 7.25)},
         {POOL: Reading(4000.0, 24_000.0)},
     )
-    sent = Beat(SENDER, 3, 9, False, None, (), (), number=4, digest=digest)
-    assert decode_beat(encode_beat(sent), SENDER) == sent
+    sent = Heartbeat(SENDER, 3, 9, False, None, (), (), number=4, digest=digest)
+    assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
     assert digest.find_number(SENDER, AvailabilityZone("hall-a")) == 12
     assert digest.find_number(SENDER, AvailabilityZone("hall-b")) is None
 
 
-def test_a_beat_tells_no_work_or_that_there_is_none() -> None:
-    silent = Beat(SENDER, 3, 9, False, None, (), ())
-    idle = Beat(SENDER, 3, 9, False, {}, (), ())
-    assert decode_beat(encode_beat(silent), SENDER).loads is None
-    assert decode_beat(encode_beat(idle), SENDER).loads == {}
+def test_a_heartbeat_without_loads_differs_from_one_of_an_idle_host() -> None:
+    without_loads = Heartbeat(SENDER, 3, 9, False, None, (), ())
+    idle = Heartbeat(SENDER, 3, 9, False, {}, (), ())
+    assert decode_heartbeat(encode_heartbeat(without_loads), SENDER).loads is None
+    assert decode_heartbeat(encode_heartbeat(idle), SENDER).loads == {}
 
 
 USAGE = HostUsage(
@@ -102,19 +104,22 @@
 )
 
 
-def test_a_beat_brings_the_duties_and_the_counts() -> None:
+def test_a_heartbeat_carries_duties_and_usage_counts() -> None:
     duty = DutyNews(FencingToken(7), True, 355_975_689)
-    sent = replace(beat(Load(1, 0, 0.0)), duty=duty, usage=USAGE)
-    assert decode_beat(encode_beat(sent), SENDER) == sent
-    silent = replace(sent, duty=DutyNews(FencingToken(0)), usage=None)
-    assert decode_beat(encode_beat(silent), SENDER) == silent
+    sent = replace(make_heartbeat(Load(1, 0, 0.0)), duty=duty, usage=USAGE)
+    assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
+    without_usage = replace(sent, duty=DutyNews(FencingToken(0)), usage=None)
+    assert decode_heartbeat(encode_heartbeat(without_usage), SENDER) == without_usage
 
 
-def test_a_beat_without_duties_has_no_bytes_for_them() -> None:
-    assert decode_beat(encode_beat(beat(Load(1, 0, 0.0))), SENDER).duty is None
+def test_a_heartbeat_without_duties_is_decoded_without_them() -> None:
+    assert (
+        decode_heartbeat(encode_heartbeat(make_heartbeat(Load(1, 0, 0.0))), SENDER).duty
+        is None
+    )
 
 
-def test_records_of_the_duties_come_back_as_they_were() -> None:
+def test_duty_records_survive_encoding() -> None:
     holder = DutyHolder(SENDER, "1790000000123-77")
     assert decode_duty_holder(encode_duty_holder(holder)) == holder
     settled = SettledUsage(355_975_692, USAGE.windows)
@@ -122,13 +127,15 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\xff" * 30])
-def test_records_of_the_duties_that_are_none_are_told(data: bytes) -> None:
+def test_invalid_duty_records_are_rejected(data: bytes) -> None:
     with pytest.raises(PeerError):
         decode_duty_holder(data)
     with pytest.raises(PeerError):
         decode_settled_usage(data)
 
 
-def test_a_beat_carries_upstreams_that_reported_leaving() -> None:
-    sent = replace(beat(Load(1, 0, 0.0)), leaving=(UpstreamId("u1"), UpstreamId("u2")))
-    assert decode_beat(encode_beat(sent), sent.sender).leaving == sent.leaving
+def test_a_heartbeat_carries_upstreams_that_reported_leaving() -> None:
+    sent = replace(
+        make_heartbeat(Load(1, 0, 0.0)), leaving=(UpstreamId("u1"), UpstreamId("u2"))
+    )
+    assert decode_heartbeat(encode_heartbeat(sent), sent.sender).leaving == sent.leaving
--- a/tests/gossip/test_mutated.py
+++ b/tests/gossip/test_mutated.py
@@ -1,4 +1,4 @@
-"""Whatever bytes a peer sends, they are taken, or they raise the one error."""
+"""Mutated messages of a peer are either processed or rejected with a PeerError."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, RateLimitNews, Reading, SentPrompt
 from rudderpass.gossip import (
-    Beat,
     Digest,
+    Heartbeat,
     Member,
-    Mesh,
+    PeerTable,
     decode_prompts,
     decode_state,
-    encode_beat,
+    encode_heartbeat,
     encode_prompts,
     encode_state,
 )
-from rudderpass.gossip._codec import decode_beat
+from rudderpass.gossip._codec import decode_heartbeat
 from rudderpass.host._telling import Telling
 from rudderpass.learning import StreamSample
 from tests.directory.builders import ZONE, make_route
@@ -34,8 +34,8 @@
 SENDER = NodeId("10.0.0.2:1")
 UPSTREAM = UpstreamId("u1")
 PROMPT = SentPrompt(UPSTREAM, parts(("shared", 8000)))
-BEAT = encode_beat(
-    Beat(
+HEARTBEAT = encode_heartbeat(
+    Heartbeat(
         SENDER,
         0,
         3,
@@ -71,34 +71,34 @@
 
 
 @st.composite
-def mutated(draw: st.DrawFn, good: bytes) -> bytes:
-    """Return bytes in which some were changed, cut off or added."""
-    data = bytearray(good)
+def mutated(draw: st.DrawFn, valid: bytes) -> bytes:
+    """Return bytes of which some were changed, removed or added."""
+    data = bytearray(valid)
     for _ in range(draw(st.integers(1, 3))):
-        at = draw(st.integers(0, len(data)))
-        end = at + draw(st.integers(0, 2))
-        data[at:end] = draw(st.binary(max_size=3))
+        start = draw(st.integers(0, len(data)))
+        end = start + draw(st.integers(0, 2))
+        data[start:end] = draw(st.binary(max_size=3))
     return bytes(data)
 
 
 @make_settings(400)
-@given(mutated(BEAT))
-def test_a_beat_is_taken_or_the_one_error(data: bytes) -> None:
+@given(mutated(HEARTBEAT))
+def test_a_mutated_heartbeat_is_processed_or_rejected(data: bytes) -> None:
     try:
-        beat = decode_beat(data, SENDER)
+        heartbeat = decode_heartbeat(data, SENDER)
     except PeerError:
         return
     core = make_core(make_route())
-    mesh = Mesh(OWN, random.Random(1))
-    telling = Telling(OWN, ZONE, 100, core, mesh, lambda now: False)
-    telling.take(beat, 1.0)
+    peers = PeerTable(OWN, random.Random(1))
+    telling = Telling(OWN, ZONE, 100, core, peers, lambda now: False)
+    telling.take(heartbeat, 1.0)
     telling.compose(1.05, is_relayed=True)
     assign(core, make_request(parts=PROMPT.parts), 1.1)
 
 
 @make_settings(400)
 @given(mutated(zlib.decompress(STATE)))
-def test_a_state_is_taken_or_the_one_error(data: bytes) -> None:
+def test_a_mutated_state_is_processed_or_rejected(data: bytes) -> None:
     try:
         state = decode_state(zlib.compress(data))
     except PeerError:
@@ -111,7 +111,7 @@
 
 @make_settings(200)
 @given(mutated(zlib.decompress(PROMPTS)))
-def test_prompts_are_taken_or_the_one_error(data: bytes) -> None:
+def test_mutated_prompts_are_processed_or_rejected(data: bytes) -> None:
     try:
         prompts = decode_prompts(zlib.compress(data))
     except PeerError:
@@ -123,7 +123,7 @@
 
 @make_settings(200)
 @given(st.sampled_from([STATE, PROMPTS]).flatmap(mutated))
-def test_what_is_not_deflated_well_is_the_one_error(data: bytes) -> None:
+def test_mutated_compressed_data_is_processed_or_rejected(data: bytes) -> None:
     for decode in (decode_state, decode_prompts):
         try:
             decode(data)
--- a/tests/gossip/test_rate_limits.py
+++ b/tests/gossip/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of rate limits in beats."""
+"""Encoding and decoding of rate limits in heartbeats."""
 
 from __future__ import annotations
 
@@ -8,18 +8,23 @@
 from rudderpass._thrift import encode_struct
 from rudderpass.errors import PeerError
 from rudderpass.exchange import RateLimitNews
-from rudderpass.gossip import Beat, decode_beat, encode_beat
+from rudderpass.gossip import Heartbeat, decode_heartbeat, encode_heartbeat
 from rudderpass.gossip._gen.wire import ttypes as wire
 
-NEWS = (
+UPDATES = (
     RateLimitNews(UpstreamId("u1"), 0.75, 1.25),
     RateLimitNews(UpstreamId("u2"), None, 0.5),
 )
 
 
-def test_a_beat_carries_rate_limits() -> None:
-    beat = Beat(NodeId("10.0.0.1:7"), 1, 2, False, None, (), (), rate_limits=NEWS)
-    assert decode_beat(encode_beat(beat), beat.sender).rate_limits == NEWS
+def test_a_heartbeat_carries_rate_limits() -> None:
+    heartbeat = Heartbeat(
+        NodeId("10.0.0.1:7"), 1, 2, False, None, (), (), rate_limits=UPDATES
+    )
+    assert (
+        decode_heartbeat(encode_heartbeat(heartbeat), heartbeat.sender).rate_limits
+        == UPDATES
+    )
 
 
 @pytest.mark.parametrize("rate", [-1.0, float("nan"), float("inf")])
@@ -28,5 +33,5 @@
     data = encode_struct(
         wire.Beat(1, 2, False, prompts=[], peers=[], rate_limits=limits)
     )
-    with pytest.raises(PeerError, match="incomplete beat"):
-        decode_beat(data, NodeId("10.0.0.1:7"))
+    with pytest.raises(PeerError, match="invalid heartbeat"):
+        decode_heartbeat(data, NodeId("10.0.0.1:7"))
--- a/tests/gossip/test_suspects.py
+++ b/tests/gossip/test_suspects.py
@@ -1,4 +1,4 @@
-"""What is told and kept of requests that may crash upstreams survives as bytes."""
+"""Encoding of requests that may crash upstreams."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.errors import PeerError
 from rudderpass.gossip import (
-    Beat,
-    decode_beat,
+    Heartbeat,
+    decode_heartbeat,
     decode_quarantined,
-    encode_beat,
+    encode_heartbeat,
     encode_host_record,
 )
 from rudderpass.quarantine import SuspectNews
 from tests.quarantine.builders import BAD, GOOD, TEAM, crash
 
 ZONE = AvailabilityZone("hall-a")
-NEWS = (
+SUSPECTS = (
     SuspectNews(
         BAD,
         TEAM,
@@ -29,40 +29,49 @@
 )
 
 
-def test_a_beat_tells_suspects() -> None:
-    beat = Beat(NodeId("10.0.0.1:7"), 1, 2, False, None, (), (), suspects=NEWS)
-    assert decode_beat(encode_beat(beat), beat.sender).suspects == NEWS
+def test_a_heartbeat_carries_suspects() -> None:
+    heartbeat = Heartbeat(
+        NodeId("10.0.0.1:7"), 1, 2, False, None, (), (), suspects=SUSPECTS
+    )
+    assert (
+        decode_heartbeat(encode_heartbeat(heartbeat), heartbeat.sender).suspects
+        == SUSPECTS
+    )
 
 
-def test_beats_without_suspects_are_no_longer_for_them() -> None:
-    beat = Beat(NodeId("10.0.0.1:7"), 1, 2, False, None, (), ())
-    told = Beat(NodeId("10.0.0.1:7"), 1, 2, False, None, (), (), suspects=NEWS)
-    assert len(encode_beat(told)) - len(encode_beat(beat)) < 60 * len(NEWS)
+def test_a_suspect_adds_few_bytes_to_a_heartbeat() -> None:
+    heartbeat = Heartbeat(NodeId("10.0.0.1:7"), 1, 2, False, None, (), ())
+    with_suspects = Heartbeat(
+        NodeId("10.0.0.1:7"), 1, 2, False, None, (), (), suspects=SUSPECTS
+    )
+    assert len(encode_heartbeat(with_suspects)) - len(
+        encode_heartbeat(heartbeat)
+    ) < 60 * len(SUSPECTS)
 
 
-def test_a_hosts_record_ages() -> None:
-    data = encode_host_record(ZONE, NEWS, written=1000.0)
+def test_ages_in_a_host_record_count_up() -> None:
+    data = encode_host_record(ZONE, SUSPECTS, written=1000.0)
     first, second = decode_quarantined(data, now=1010.0)
-    assert [seen.at for seen in first.crashes] == [11.25, 10.5]
+    assert [entry.at for entry in first.crashes] == [11.25, 10.5]
     assert (first.served, first.trial) == (14.0, None)
     assert (second.team, second.crashes[0].sent) == (None, 12.0)
 
 
-def test_a_clock_that_went_back_does_not_make_it_younger() -> None:
-    data = encode_host_record(ZONE, NEWS, written=1000.0)
+def test_a_clock_set_back_does_not_reduce_the_ages() -> None:
+    data = encode_host_record(ZONE, SUSPECTS, written=1000.0)
     first, _ = decode_quarantined(data, now=900.0)
-    assert [seen.at for seen in first.crashes] == [1.25, 0.5]
+    assert [entry.at for entry in first.crashes] == [1.25, 0.5]
 
 
 @pytest.mark.parametrize("value", [b"hall-a", b"", b"\x00"])
-def test_a_record_that_names_only_a_zone_holds_none(value: bytes) -> None:
+def test_a_record_that_names_only_a_zone_holds_no_suspects(value: bytes) -> None:
     try:
         assert decode_quarantined(value, 1000.0) == ()
     except PeerError:
-        pass  # As good: whoever reads it goes on with the other records.
+        pass  # Also acceptable: the reader continues with the other records.
 
 
 @pytest.mark.parametrize("value", [b"\xff\xff\xff", b"\x19\xfc\xff\xff\xff\xff\x0f"])
-def test_bytes_that_are_no_record_raise_one_error(value: bytes) -> None:
+def test_invalid_host_records_are_rejected(value: bytes) -> None:
     with pytest.raises(PeerError):
         decode_quarantined(value, 1000.0)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -1,4 +1,4 @@
-"""Beats and states over real sockets, and bytes that are none."""
+"""Heartbeats and states over real sockets, and invalid bytes."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, PartId, PromptPart, SentPrompt
 from rudderpass.gossip import (
-    Beat,
     GossipTransport,
-    decode_beat,
+    Heartbeat,
+    decode_heartbeat,
     decode_prompts,
     decode_state,
-    encode_beat,
+    encode_heartbeat,
     encode_prompts,
     encode_state,
 )
@@ -39,7 +39,7 @@
     5,
     ((UpstreamName("u1"), 1.5),),
 )
-BEAT = Beat(
+HEARTBEAT = Heartbeat(
     NodeId("10.0.0.1:1"),
     3,
     5,
@@ -51,17 +51,17 @@
 )
 
 
-class Node:
-    """A transport that remembers what arrived."""
+class Endpoint:
+    """A transport that records what it receives."""
 
     def __init__(self) -> None:
-        self.beats: list[Beat] = []
+        self.heartbeats: list[Heartbeat] = []
         self.errors: list[PeerError] = []
         self.arrived = threading.Event()
         self.transport = GossipTransport(
             "127.0.0.1:0",
-            self._take,
-            self._fail,
+            self._receive,
+            self._record_error,
             lambda config, upstreams: STATE,
             lambda: PROMPTS,
         )
@@ -70,63 +70,65 @@
     def wait(self) -> None:
         assert self.arrived.wait(TIMEOUT)
 
-    def _take(self, beat: Beat) -> None:
-        self.beats.append(beat)
+    def _receive(self, heartbeat: Heartbeat) -> None:
+        self.heartbeats.append(heartbeat)
         self.arrived.set()
 
-    def _fail(self, error: PeerError) -> None:
+    def _record_error(self, error: PeerError) -> None:
         self.errors.append(error)
         self.arrived.set()
 
 
 @pytest.fixture
-def nodes() -> Iterator[tuple[Node, Node]]:
-    pair = (Node(), Node())
+def endpoints() -> Iterator[tuple[Endpoint, Endpoint]]:
+    pair = (Endpoint(), Endpoint())
     yield pair
-    for node in pair:
-        node.transport.close()
+    for endpoint in pair:
+        endpoint.transport.close()
 
 
-def test_a_beat_arrives_whole(nodes: tuple[Node, Node]) -> None:
-    one, other = nodes
-    one.transport.tell(BEAT, [other.transport.address])
+def test_a_heartbeat_arrives_unchanged(endpoints: tuple[Endpoint, Endpoint]) -> None:
+    one, other = endpoints
+    one.transport.send(HEARTBEAT, [other.transport.address])
     other.wait()
-    assert other.beats == [replace(BEAT, sender=one.transport.address)]
-    assert one.transport.sent_bytes == len(encode_beat(BEAT))
+    assert other.heartbeats == [replace(HEARTBEAT, sender=one.transport.address)]
+    assert one.transport.sent_bytes == len(encode_heartbeat(HEARTBEAT))
 
 
-def test_state_and_prompts_are_handed_over(nodes: tuple[Node, Node]) -> None:
-    one, other = nodes
+def test_state_and_prompts_can_be_fetched(endpoints: tuple[Endpoint, Endpoint]) -> None:
+    one, other = endpoints
     assert one.transport.fetch(other.transport.address, -1, 0) == STATE
     assert one.transport.fetch_prompts(other.transport.address) == PROMPTS
 
 
-def test_strange_bytes_are_an_error_and_nothing_more(nodes: tuple[Node, Node]) -> None:
-    one, other = nodes
+def test_an_invalid_datagram_does_not_stop_the_receiver(
+    endpoints: tuple[Endpoint, Endpoint],
+) -> None:
+    one, other = endpoints
     host, _, port = one.transport.address.rpartition(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.sendto(b"\xff\xff strange", (host, int(port)))
     one.wait()
-    assert one.errors and not one.beats
+    assert one.errors and not one.heartbeats
     one.arrived.clear()
-    other.transport.tell(BEAT, [one.transport.address])
+    other.transport.send(HEARTBEAT, [one.transport.address])
     one.wait()
-    assert one.beats == [replace(BEAT, sender=other.transport.address)]
+    assert one.heartbeats == [replace(HEARTBEAT, sender=other.transport.address)]
 
 
-def test_a_peer_that_is_gone_is_an_error() -> None:
-    node = Node()
-    gone = node.transport.address
-    node.transport.close()
-    other = Node()
+def test_fetching_from_a_stopped_peer_fails() -> None:
+    endpoint = Endpoint()
+    stopped = endpoint.transport.address
+    endpoint.transport.close()
+    other = Endpoint()
     with pytest.raises(PeerError) as caught:
-        other.transport.fetch(gone, -1, 0)
-    assert caught.value.peer == gone
+        other.transport.fetch(stopped, -1, 0)
+    assert caught.value.peer == stopped
     other.transport.close()
 
 
-def test_messages_come_back_as_they_were() -> None:
-    assert decode_beat(encode_beat(BEAT), BEAT.sender) == BEAT
+def test_messages_survive_encoding() -> None:
+    assert decode_heartbeat(encode_heartbeat(HEARTBEAT), HEARTBEAT.sender) == HEARTBEAT
     assert decode_state(encode_state(STATE)) == STATE
     empty = DirectoryState(None, (), 0)
     assert decode_state(encode_state(empty)) == empty
@@ -134,83 +136,83 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_message_or_an_error(data: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(data: bytes) -> None:
     with contextlib.suppress(PeerError):
-        beat = decode_beat(data, BEAT.sender)
-        assert isinstance(beat.config_offset + beat.upstreams_end, int)
-    for handed_over in (data, zlib.compress(data)):
+        heartbeat = decode_heartbeat(data, HEARTBEAT.sender)
+        assert isinstance(heartbeat.config_offset + heartbeat.upstreams_end, int)
+    for body in (data, zlib.compress(data)):
         with contextlib.suppress(PeerError):
-            assert isinstance(decode_state(handed_over).upstreams_end, int)
+            assert isinstance(decode_state(body).upstreams_end, int)
         with contextlib.suppress(PeerError):
-            decode_prompts(handed_over)
+            decode_prompts(body)
 
 
-def test_a_state_that_is_cut_or_too_large_is_an_error() -> None:
+def test_a_truncated_or_too_large_state_is_rejected() -> None:
     whole = encode_state(STATE)
-    with pytest.raises(PeerError, match="cut"):
+    with pytest.raises(PeerError, match="truncated"):
         decode_state(whole[:-1])
-    with pytest.raises(PeerError, match="over"):
+    with pytest.raises(PeerError, match="larger than"):
         decode_state(zlib.compress(bytes(MAX_STATE_BYTES + 1)))
 
 
-def test_a_configuration_is_handed_over_in_far_fewer_bytes() -> None:
+def test_a_configuration_is_sent_compressed() -> None:
     text = b'{"name": "route", "timeoutMs": 4000},' * 500
     state = DirectoryState(KeyedRecord(3, "config", text), (), 5)
     assert len(encode_state(state)) < len(text) / 5
 
 
-def test_a_beat_without_its_offsets_is_an_error() -> None:
+def test_a_heartbeat_without_its_offsets_is_rejected() -> None:
     with pytest.raises(PeerError):
-        decode_beat(b"\x00", BEAT.sender)
+        decode_heartbeat(b"\x00", HEARTBEAT.sender)
 
 
-def test_an_idle_hosts_beat_is_small() -> None:
-    """A large deployment sends thousands of them a second, most between zones."""
-    idle = replace(BEAT, loads={}, prompts=(), peers=())
-    assert len(encode_beat(idle)) < 24
+def test_an_idle_hosts_heartbeat_is_small() -> None:
+    """A large deployment sends thousands of these a second, most between zones."""
+    idle = replace(HEARTBEAT, loads={}, prompts=(), peers=())
+    assert len(encode_heartbeat(idle)) < 24
 
 
-def test_a_beat_that_cannot_be_taken_does_not_end_the_hearing(
-    nodes: tuple[Node, Node],
+def test_a_heartbeat_that_cannot_be_processed_does_not_stop_the_receiver(
+    endpoints: tuple[Endpoint, Endpoint],
 ) -> None:
-    one, other = nodes
+    one, other = endpoints
 
-    class Stumbling(list[Beat]):
+    class FailingOnce(list[Heartbeat]):
         """A list whose first append fails."""
 
         failed = False
 
-        def append(self, beat: Beat) -> None:
+        def append(self, heartbeat: Heartbeat) -> None:
             if not self.failed:
                 self.failed = True
                 raise KeyError("unforeseen")
-            super().append(beat)
+            super().append(heartbeat)
 
-    one.beats = Stumbling()
-    other.transport.tell(BEAT, [one.transport.address])
+    one.heartbeats = FailingOnce()
+    other.transport.send(HEARTBEAT, [one.transport.address])
     one.wait()
     assert "unforeseen" in one.errors[0].show()
     one.arrived.clear()
-    other.transport.tell(BEAT, [one.transport.address])
+    other.transport.send(HEARTBEAT, [one.transport.address])
     one.wait()
-    assert one.beats == [replace(BEAT, sender=other.transport.address)]
+    assert one.heartbeats == [replace(HEARTBEAT, sender=other.transport.address)]
 
 
-def test_many_long_beats_are_sent_in_bursts(
-    nodes: tuple[Node, Node], monkeypatch: pytest.MonkeyPatch
+def test_many_long_heartbeats_are_sent_in_bursts(
+    endpoints: tuple[Endpoint, Endpoint], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A slow link's queue loses what does not fit into it."""
+    """A slow link's queue drops what does not fit into it."""
     pauses: list[float] = []
     clock = SimpleNamespace(sleep=pauses.append)
     monkeypatch.setattr("rudderpass.gossip._transport.time", clock)
-    first, second = nodes
+    first, second = endpoints
     prompts = tuple(
         SentPrompt(UpstreamId(random.Random(n).randbytes(20).hex()), ())
         for n in range(100)
     )
-    beat = replace(BEAT, prompts=prompts)
-    size = len(encode_beat(beat))
-    first.transport.tell(beat, [second.transport.address] * 20)
+    heartbeat = replace(HEARTBEAT, prompts=prompts)
+    size = len(encode_heartbeat(heartbeat))
+    first.transport.send(heartbeat, [second.transport.address] * 20)
     each = MAX_BURST_BYTES // size
     assert 1 < each < 20
     assert len(pauses) == (20 - 1) // each
--- a/tests/host/fleet.py
+++ b/tests/host/fleet.py
@@ -11,9 +11,9 @@
 
 from rudderpass._ids import AvailabilityZone, NodeId, RequestId
 from rudderpass.exchange import Assignment, ExchangeCore, Load
-from rudderpass.gossip import RELAY_FROM, Beat, FollowRule, Mesh
-from rudderpass.gossip._codec import decode_beat, encode_beat
-from rudderpass.gossip._transport import MAX_DATAGRAM
+from rudderpass.gossip import MIN_HOSTS_FOR_RELAYS, FollowRule, Heartbeat, PeerTable
+from rudderpass.gossip._codec import decode_heartbeat, encode_heartbeat
+from rudderpass.gossip._transport import MAX_DATAGRAM_BYTES
 from rudderpass.host._telling import Telling
 from tests.directory.builders import make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
@@ -31,7 +31,7 @@
         self.name = name
         self.link_mbps = link_mbps
         self.zone = zone
-        self.mesh = Mesh(name, random.Random(name))
+        self.mesh = PeerTable(name, random.Random(name))
         self.core: ExchangeCore = make_core(
             make_route(), upstreams=upstreams, rank_host=self.mesh.rank_host
         )
@@ -42,7 +42,7 @@
         self.is_up = True
 
     def is_relayed(self, now: float) -> bool:
-        return self.rule.count_hosts(now) >= RELAY_FROM
+        return self.rule.count_hosts(now) >= MIN_HOSTS_FOR_RELAYS
 
 
 class Fleet:
@@ -131,7 +131,7 @@
 
     def _start(self, host: FleetHost) -> None:
         """Greet all that the store lists, as a starting host does."""
-        data = encode_beat(host.telling.greet(self.now, host.is_relayed(self.now)))
+        data = encode_heartbeat(host.telling.greet(self.now, host.is_relayed(self.now)))
         for target in host.mesh.silent(self.now):
             self._deliver(host.name, target, data)
         self._tick(host)
@@ -149,8 +149,8 @@
     def _send_beats(self, host: FleetHost) -> None:
         messages = host.telling.compose(self.now, host.is_relayed(self.now))
         for message in messages:
-            data = encode_beat(message.beat)
-            assert len(data) <= MAX_DATAGRAM
+            data = encode_heartbeat(message.beat)
+            assert len(data) <= MAX_DATAGRAM_BYTES
             for target in message.targets:
                 self._deliver(host.name, target, data)
 
@@ -165,7 +165,7 @@
         if not host.is_up:
             return
         self.received[target] += 1
-        beat: Beat = decode_beat(data, sender)
+        beat: Heartbeat = decode_heartbeat(data, sender)
         if host.telling.take(beat, self.now):
             greeting = host.telling.greet(self.now, host.is_relayed(self.now))
-            self._deliver(target, sender, encode_beat(greeting))
+            self._deliver(target, sender, encode_heartbeat(greeting))
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -15,7 +15,7 @@
 
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.exchange import BudgetRule
-from rudderpass.gossip import FollowRule, Mesh
+from rudderpass.gossip import FollowRule, PeerTable
 from rudderpass.host import DutySettings, ExchangeHost, HostSettings
 from rudderpass.host._command import make_platform
 from rudderpass.platform import CONFIG_TOPIC, HOSTS_TOPIC, UPSTREAMS_TOPIC
@@ -318,10 +318,10 @@
     while True:
         with socket.create_server(("127.0.0.1", 0)) as probe:
             address = f"127.0.0.1:{probe.getsockname()[1]}"
-        mesh = Mesh(NodeId(address), random.Random(1))
+        mesh = PeerTable(NodeId(address), random.Random(1))
         mesh.add(NodeId(name) for name in names)
         rule = FollowRule(NodeId(address), mesh, started=0.0)
-        rule.note_acquainted()
+        rule.record_peers_listed()
         if not rule.should_follow(0.0):
             return address
 
--- a/tests/host/test_quarantine.py
+++ b/tests/host/test_quarantine.py
@@ -12,7 +12,7 @@
 from rudderpass import _clock
 from rudderpass._ids import NodeId
 from rudderpass.cli import main
-from rudderpass.gossip import Beat
+from rudderpass.gossip import Heartbeat
 from rudderpass.host import ExchangeHost
 from rudderpass.platform import HOSTS_TOPIC
 from tests.exchange.test_serve import wait_for
@@ -138,14 +138,14 @@
     second = start(deployment, first.peer_address)
     wait_for(lambda: read_gauge(first, "live_peers") == 1)
     told: list[float] = []
-    tell = first._peers.transport.tell
+    tell = first._peers.transport.send
 
-    def count(beat: Beat, peers: Iterable[NodeId]) -> None:
+    def count(beat: Heartbeat, peers: Iterable[NodeId]) -> None:
         if beat.suspects:
             told.append(time.monotonic())
         tell(beat, peers)
 
-    monkeypatch.setattr(first._peers.transport, "tell", count)
+    monkeypatch.setattr(first._peers.transport, "send", count)
     began = time.monotonic()
     crash_three(first)
     for _ in range(20):
--- a/tests/learning/test_streams.py
+++ b/tests/learning/test_streams.py
@@ -1,85 +1,87 @@
-"""What streams show of their engines: pace, and whom prompts that are read harm."""
+"""Estimates from streams: engine speed, and which streams are late during prefill."""
 
 from __future__ import annotations
 
 import pytest
 
 from rudderpass._ids import PoolId, UpstreamId
-from rudderpass.learning import StreamMemory, StreamSample
+from rudderpass.learning import StreamSample, StreamStats
 
 SERVICE = PoolId("engines")
-QUICK, OTHER, SLOW = (UpstreamId(name) for name in ("quick", "other", "slow"))
+FAST, OTHER, SLOW = (UpstreamId(name) for name in ("quick", "other", "slow"))
 TIGHTEST = 0.2
 
 
-def teach(
-    memory: StreamMemory, upstream: UpstreamId, pace: float, pause: float, count: int
+def record_streams(
+    stats: StreamStats, upstream: UpstreamId, pace: float, pause: float, count: int
 ) -> None:
     for _ in range(count):
-        memory.note(SERVICE, StreamSample(upstream, pace, pause), 0.0)
+        stats.record(SERVICE, StreamSample(upstream, pace, pause), 0.0)
 
 
-def harm(memory: StreamMemory, gap: float | None, slowness: float = 1.0) -> float:
-    return memory.harm(SERVICE, gap, TIGHTEST, 1.0, slowness)
+def late_probability(
+    stats: StreamStats, gap: float | None, slowness: float = 1.0
+) -> float:
+    return stats.late_probability(SERVICE, gap, TIGHTEST, 1.0, slowness)
 
 
-def test_until_streams_were_seen_those_that_bear_least_are_harmed() -> None:
-    memory = StreamMemory()
-    teach(memory, QUICK, 0.02, 0.9, 11)
-    assert harm(memory, TIGHTEST) == 1.0
-    assert harm(memory, 0.3) == 0.0
-    patient = memory.harm(SERVICE, 1.5, 1.5, 1.0)
-    assert patient == 0.0, "no engine is assumed to pause for so long"
+def test_until_enough_samples_only_the_shortest_gap_targets_count_as_late() -> None:
+    stats = StreamStats()
+    record_streams(stats, FAST, 0.02, 0.9, 11)
+    assert late_probability(stats, TIGHTEST) == 1.0
+    assert late_probability(stats, 0.3) == 0.0
+    tolerant = stats.late_probability(SERVICE, 1.5, 1.5, 1.0)
+    assert tolerant == 0.0, "no engine is assumed to pause for so long"
 
 
 @pytest.mark.parametrize("pause", [0.05, 0.24, 1.4], ids=str)
-def test_whom_prompts_harm_follows_from_the_pauses_seen(pause: float) -> None:
-    """The same limit is no harm on quick engines, and is always passed on slow ones."""
-    memory = StreamMemory()
-    teach(memory, QUICK, pause / 12, pause, 40)
-    assert harm(memory, pause * 0.9) == 1.0
-    assert harm(memory, pause * 1.1) == 0.0
-    assert harm(memory, None) == 0.0
-
-
-def test_streams_that_met_no_prompt_say_nothing_of_harm() -> None:
-    memory = StreamMemory()
-    teach(memory, QUICK, 0.02, 0.24, 40)
-    teach(memory, QUICK, 0.02, 0.03, 200)
-    assert harm(memory, 0.2) == 1.0
-
-
-def test_one_engine_in_three_that_is_slower_is_found_by_its_pace() -> None:
-    memory = StreamMemory()
-    for upstream, factor in ((QUICK, 1.0), (OTHER, 1.05), (SLOW, 1.4)):
-        teach(memory, upstream, 0.02 * factor, 0.2 * factor, 60)
-    assert memory.slowness(SERVICE, QUICK) == 1.0, "within the spread of equal engines"
-    assert memory.slowness(SERVICE, OTHER) == 1.0
-    assert memory.slowness(SERVICE, SLOW) == pytest.approx(1.4, rel=0.1)
-    assert harm(memory, 0.24) == 0.0
-    assert harm(memory, 0.24, memory.slowness(SERVICE, SLOW)) == 1.0
-
-
-def test_streams_held_up_by_reading_do_not_make_their_engine_slow() -> None:
-    memory = StreamMemory()
+def test_the_late_probability_follows_from_observed_pauses(pause: float) -> None:
+    """A gap target is always met on fast engines and always missed on slow ones."""
+    stats = StreamStats()
+    record_streams(stats, FAST, pause / 12, pause, 40)
+    assert late_probability(stats, pause * 0.9) == 1.0
+    assert late_probability(stats, pause * 1.1) == 0.0
+    assert late_probability(stats, None) == 0.0
+
+
+def test_streams_without_prefill_do_not_change_the_late_probability() -> None:
+    stats = StreamStats()
+    record_streams(stats, FAST, 0.02, 0.24, 40)
+    record_streams(stats, FAST, 0.02, 0.03, 200)
+    assert late_probability(stats, 0.2) == 1.0
+
+
+def test_one_slower_engine_in_three_is_found_by_its_pace() -> None:
+    stats = StreamStats()
+    for upstream, factor in ((FAST, 1.0), (OTHER, 1.05), (SLOW, 1.4)):
+        record_streams(stats, upstream, 0.02 * factor, 0.2 * factor, 60)
+    assert stats.slowness(SERVICE, FAST) == 1.0, "within the spread of equal engines"
+    assert stats.slowness(SERVICE, OTHER) == 1.0
+    assert stats.slowness(SERVICE, SLOW) == pytest.approx(1.4, rel=0.1)
+    assert late_probability(stats, 0.24) == 0.0
+    assert late_probability(stats, 0.24, stats.slowness(SERVICE, SLOW)) == 1.0
+
+
+def test_streams_delayed_by_prefill_do_not_make_their_engine_slow() -> None:
+    stats = StreamStats()
     for _ in range(30):
-        for upstream in (QUICK, OTHER):
-            teach(memory, upstream, 0.02, 0.03, 1)
-        teach(memory, SLOW, 0.02, 0.2, 1)
-        teach(memory, SLOW, 0.16, 0.2, 1)
-    assert memory.slowness(SERVICE, SLOW) < 1.4
+        for upstream in (FAST, OTHER):
+            record_streams(stats, upstream, 0.02, 0.03, 1)
+        record_streams(stats, SLOW, 0.02, 0.2, 1)
+        record_streams(stats, SLOW, 0.16, 0.2, 1)
+    assert stats.slowness(SERVICE, SLOW) < 1.4
 
 
-def test_an_engine_that_has_turned_slow_is_found_and_forgiven() -> None:
-    memory = StreamMemory()
-    for upstream in (QUICK, OTHER, SLOW):
-        teach(memory, upstream, 0.02, 0.03, 10)
-    teach(memory, SLOW, 0.1, 0.15, 40)
-    assert memory.slowness(SERVICE, SLOW) > 2.0
-    teach(memory, SLOW, 0.02, 0.03, 5)
-    assert memory.slowness(SERVICE, SLOW) == 1.0
-    memory.forget_upstream(SLOW)
-    assert memory.slowness(SERVICE, SLOW) == 1.0
+def test_an_engine_that_becomes_slow_is_found_and_recovers() -> None:
+    stats = StreamStats()
+    for upstream in (FAST, OTHER, SLOW):
+        record_streams(stats, upstream, 0.02, 0.03, 10)
+    record_streams(stats, SLOW, 0.1, 0.15, 40)
+    assert stats.slowness(SERVICE, SLOW) > 2.0
+    record_streams(stats, SLOW, 0.02, 0.03, 5)
+    assert stats.slowness(SERVICE, SLOW) == 1.0
+    stats.forget_upstream(SLOW)
+    assert stats.slowness(SERVICE, SLOW) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -87,24 +89,24 @@
     [(-1.0, 0.2), (0.0, 0.0), (0.3, 0.2), (0.02, 1e9), (float("nan"), 0.2)],
     ids=str,
 )
-def test_nonsense_is_counted_and_changes_nothing(pace: float, pause: float) -> None:
-    memory = StreamMemory()
-    teach(memory, QUICK, pace, pause, 300)
-    assert memory.passed_over == 300
-    assert memory.slowness(SERVICE, QUICK) == 1.0
-    assert harm(memory, TIGHTEST) == 1.0
+def test_impossible_samples_are_counted_and_dropped(pace: float, pause: float) -> None:
+    stats = StreamStats()
+    record_streams(stats, FAST, pace, pause, 300)
+    assert stats.rejected_samples == 300
+    assert stats.slowness(SERVICE, FAST) == 1.0
+    assert late_probability(stats, TIGHTEST) == 1.0
 
 
 def test_absurd_paces_are_bounded() -> None:
-    memory = StreamMemory()
-    teach(memory, QUICK, 0.02, 0.03, 10)
-    teach(memory, OTHER, 0.02, 0.03, 10)
-    teach(memory, SLOW, 50.0, 59.0, 300)
-    assert memory.slowness(SERVICE, SLOW) <= 8.0
-
-
-def test_old_streams_are_forgotten() -> None:
-    memory = StreamMemory()
-    teach(memory, QUICK, 0.02, 0.5, 40)
-    assert memory.harm(SERVICE, 0.3, TIGHTEST, 59.0) == 1.0
-    assert memory.harm(SERVICE, 0.3, TIGHTEST, 61.0) == 0.0
+    stats = StreamStats()
+    record_streams(stats, FAST, 0.02, 0.03, 10)
+    record_streams(stats, OTHER, 0.02, 0.03, 10)
+    record_streams(stats, SLOW, 50.0, 59.0, 300)
+    assert stats.slowness(SERVICE, SLOW) <= 8.0
+
+
+def test_old_streams_expire() -> None:
+    stats = StreamStats()
+    record_streams(stats, FAST, 0.02, 0.5, 40)
+    assert stats.late_probability(SERVICE, 0.3, TIGHTEST, 59.0) == 1.0
+    assert stats.late_probability(SERVICE, 0.3, TIGHTEST, 61.0) == 0.0
