--- a/src/rudderpass/directory/_directory.py
+++ b/src/rudderpass/directory/_directory.py
@@ -12,7 +12,6 @@
 
 from rudderpass._ids import PoolId, UpstreamId, UpstreamName
 from rudderpass.directory._config import EngineTraits, ExchangeConfig
-from rudderpass.directory._lapses import DRAIN_BOUND_SECONDS, LapseRule
 from rudderpass.directory._messages import (
     DirectoryState,
     KeyedRecord,
@@ -21,6 +20,7 @@
     tell_registration,
 )
 from rudderpass.directory._reader import Decoders, RecordReader
+from rudderpass.directory._retention import DRAIN_BOUND_SECONDS, LapseRule
 from rudderpass.directory._upstreams import (
     RegisteredUpstream,
     UpstreamList,
