--- a/src/rudderpass/gateway/_handler.py
+++ b/src/rudderpass/gateway/_handler.py
@@ -33,7 +33,7 @@
 from rudderpass.gateway._services import Services
 from rudderpass.observe import Latency, log
 from rudderpass.pools import Granted, Refused
-from rudderpass.routing import Ending, Usage
+from rudderpass.routing import GrantOutcome, Usage
 from rudderpass.streams import (
     AttemptState,
     NextStep,
@@ -164,7 +164,7 @@
         if claimed is None:
             self._holds_key = True
             return None
-        self._services.admission.finish(attempt, Usage(Ending.CANCELLED))
+        self._services.admission.finish(attempt, Usage(GrantOutcome.CANCELLED))
         resolution: Problem | StoredResponse | None
         if isinstance(claimed, Problem):
             resolution = claimed
@@ -229,7 +229,7 @@
             try:
                 decision = future.result()
             except CancelledError:
-                usage = Usage(Ending.CANCELLED)
+                usage = Usage(GrantOutcome.CANCELLED)
                 self._services.admission.finish(attempt, usage)
                 raise CallerGone("the caller left the queue", step="wait") from None
         outcome = outcome_of(self._state)
@@ -255,7 +255,7 @@
     def _run_attempt(self, attempt: RequestId, granted: Granted) -> Iterable[bytes]:
         """Run one attempt; the grant is released exactly once, whatever the result."""
         started = time.monotonic()
-        usage = Usage(Ending.FAILED)
+        usage = Usage(GrantOutcome.FAILED)
         try:
             spec = self._find_upstream(granted)
             response = self._open_exchange(spec, granted)
@@ -278,18 +278,18 @@
             raise broken.error from None
         except UpstreamError as error:
             if not error.sent:
-                usage = Usage(Ending.UNREACHABLE)
+                usage = Usage(GrantOutcome.UNREACHABLE)
             if error.refused:
-                usage = Usage(Ending.UNUSED)
+                usage = Usage(GrantOutcome.UNUSED)
             if error.refused or not error.sent:
                 self._attempt_may_have_run = False
             if self._caller.is_gone():
-                usage = Usage(Ending.CANCELLED)
+                usage = Usage(GrantOutcome.CANCELLED)
                 raise CallerGone("the caller left", step="answer") from error
             raise
         finally:
             self._services.admission.finish(attempt, usage)
-        if usage.ending is Ending.CANCELLED:
+        if usage.outcome is GrantOutcome.CANCELLED:
             raise CallerGone("the caller left the stream", step="answer")
         return body
 
@@ -363,9 +363,9 @@
 
     def _stream_usage(self, result: StreamResult, open_seconds: float) -> Usage:
         endings = {
-            StreamEnd.COMPLETE: Ending.COMPLETED,
-            StreamEnd.BROKEN: Ending.FAILED,
-            StreamEnd.CALLER_GONE: Ending.CANCELLED,
+            StreamEnd.COMPLETE: GrantOutcome.COMPLETED,
+            StreamEnd.BROKEN: GrantOutcome.FAILED,
+            StreamEnd.CALLER_GONE: GrantOutcome.CANCELLED,
         }
         return Usage(
             endings[result.end],
@@ -404,7 +404,7 @@
                 peer=spec.address,
             )
         tokens = _count_tokens(complete)
-        ending = Ending.FAILED if failed else Ending.COMPLETED
+        ending = GrantOutcome.FAILED if failed else GrantOutcome.COMPLETED
         usage = Usage(ending, tokens, duration, duration)
         outcome = Outcome.UNKNOWN if failed else Outcome.COMPLETED
         headers = [
