--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -22,7 +22,7 @@
     Mesh,
 )
 from rudderpass.host._duties import HostDuties
-from rudderpass.host._telling import Telling
+from rudderpass.host._gossip_protocol import Telling
 
 BEAT_SECONDS = 0.5
 """Between beats. The shorter, the less hosts send the same prompt, or a whole burst, to
--- a/tests/gossip/test_mutated.py
+++ b/tests/gossip/test_mutated.py
@@ -23,7 +23,7 @@
     encode_state,
 )
 from rudderpass.gossip._codec import decode_beat
-from rudderpass.host._telling import Telling
+from rudderpass.host._gossip_protocol import Telling
 from rudderpass.learning import StreamSample
 from tests.directory.builders import ZONE, make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
--- a/tests/host/fleet.py
+++ b/tests/host/fleet.py
@@ -14,7 +14,7 @@
 from rudderpass.gossip import RELAY_FROM, Beat, FollowRule, Mesh
 from rudderpass.gossip._codec import decode_beat, encode_beat
 from rudderpass.gossip._transport import MAX_DATAGRAM
-from rudderpass.host._telling import Telling
+from rudderpass.host._gossip_protocol import Telling
 from tests.directory.builders import make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
 
