--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -35,7 +35,7 @@
 from rudderpass.host._registry import HostRegistry, HostStore, Registered, Registration
 from rudderpass.host._settings import HostSettings
 from rudderpass.host._stopping import StopSchedule, StopStep
-from rudderpass.host._waking import NewsSources, Waking
+from rudderpass.host._suspension import NewsSources, Waking
 from rudderpass.host._warmup import CacheWarmup, PartsReader, WarmupParts
 from rudderpass.webserver import HttpServer, ServerLimits
 
--- a/tests/host/test_suspension.py
+++ b/tests/host/test_suspension.py
@@ -19,7 +19,7 @@
 from rudderpass.errors import PlatformError
 from rudderpass.exchange import UpstreamConnections
 from rudderpass.host import ExchangeHost
-from rudderpass.host._waking import NewsSources, Waking
+from rudderpass.host._suspension import NewsSources, Waking
 from tests.exchange.builders import make_core
 from tests.exchange.test_serve import wait_for
 from tests.host.test_host import Deployment, deployment, read_gauge
