--- a/src/rudderpass/host/__init__.py
+++ b/src/rudderpass/host/__init__.py
@@ -1,4 +1,4 @@
-"""One host that serves exchanges on a platform."""
+"""A host: accepts HTTP requests from callers and forwards them to upstreams."""
 
 from rudderpass.host._host import ExchangeHost as ExchangeHost, Platform as Platform
 from rudderpass.host._settings import (
--- a/src/rudderpass/host/_admin.py
+++ b/src/rudderpass/host/_admin.py
@@ -1,4 +1,4 @@
-"""Readiness, metrics and quarantine of a host, on the addresses its settings name."""
+"""HTTP endpoints of a host for readiness, metrics and quarantined requests."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True)
 class QuarantinedRequest:
-    """A quarantined request as operators see it.
+    """A quarantined request, as listed for operators.
 
     :param fingerprint: hexadecimal, as in the logs.
-    :param upstreams: those that crashed under it.
-    :param seconds_left: until one copy may be tried once more.
+    :param upstreams: those that crashed while serving it.
+    :param seconds_left: until one copy may be sent on trial.
     """
 
     fingerprint: str
@@ -35,18 +35,18 @@
     seconds_left: float
 
 
-class QuarantineDesk(Protocol):
-    """What operators may do about quarantined requests."""
+class QuarantineAdmin(Protocol):
+    """Operators' access to quarantined requests."""
 
     def list_quarantined(self) -> Sequence[QuarantinedRequest]:
         """Return the quarantined requests."""
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
-        """Release a request, here and at all peers; tell whether it was suspect."""
+        """Release a request on all hosts; return whether any crash was known."""
 
 
 def make_ready_server(address: str, is_ready: Callable[[], bool]) -> HttpServer:
-    """Return a server that tells the balancer whether the host is ready."""
+    """Return the server for the load balancer's readiness checks."""
 
     def answer(
         environ: dict[str, Any], start_response: Callable[..., Any]
@@ -59,36 +59,38 @@
 
 
 def make_metrics_server(
-    address: str, expose: Callable[[], bytes], desk: QuarantineDesk
+    address: str, expose: Callable[[], bytes], quarantine: QuarantineAdmin
 ) -> HttpServer:
-    """Return a server for operators: the quarantine, and metrics on any other path."""
+    """Return the operators' server: quarantine, and metrics on all other paths."""
 
     def answer(
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         path = environ.get("PATH_INFO")
         if path == QUARANTINE_PATH:
-            listed = [asdict(request) for request in desk.list_quarantined()]
+            listed = [asdict(request) for request in quarantine.list_quarantined()]
             body = json.dumps(listed).encode() + b"\n"
             return _reply(start_response, HTTPStatus.OK, body, _JSON)
         if path == LIFT_PATH:
-            status, text = _lift(environ, desk)
+            status, text = _lift(environ, quarantine)
             return _reply(start_response, status, f"{text}\n".encode())
         return _reply(start_response, HTTPStatus.OK, expose())
 
     return HttpServer(answer, address, _LIMITS)
 
 
-def _lift(environ: dict[str, Any], desk: QuarantineDesk) -> tuple[HTTPStatus, str]:
-    """Release the request that a query names; return what to answer."""
+def _lift(
+    environ: dict[str, Any], quarantine: QuarantineAdmin
+) -> tuple[HTTPStatus, str]:
+    """Release the request named in the query; return status and response text."""
     if environ.get("REQUEST_METHOD") != "POST":
-        return HTTPStatus.METHOD_NOT_ALLOWED, "lift with POST"
+        return HTTPStatus.METHOD_NOT_ALLOWED, "use POST to lift a quarantine"
     text, *_ = parse_qs(environ.get("QUERY_STRING", "")).get("fingerprint", [""])
     try:
         fingerprint = Fingerprint(bytes.fromhex(text))
     except ValueError:
         return HTTPStatus.BAD_REQUEST, f"fingerprint {text!r} is not hexadecimal"
-    if not desk.lift_quarantine(fingerprint):
+    if not quarantine.lift_quarantine(fingerprint):
         return HTTPStatus.NOT_FOUND, f"no crash is known under {text!r}"
     return HTTPStatus.OK, "lifted"
 
--- a/src/rudderpass/host/_command.py
+++ b/src/rudderpass/host/_command.py
@@ -37,11 +37,11 @@
 )
 
 SETTINGS_POLL_SECONDS = 1.0
-"""How often the settings file is looked at; it may change without a signal."""
+"""Interval of checks of the settings file, which may change without a SIGHUP."""
 
 
 def make_platform(settings: HostSettings) -> Platform:
-    """Return the adapter's parts for a host."""
+    """Return the platform adapter for a host."""
     store = KeyedStore(settings.store)
     duties = None
     if settings.duties is not None:
@@ -75,7 +75,7 @@
     envvar="RUDDERPASS_HOST_LISTEN",
     show_envvar=True,
     metavar="IP:PORT",
-    help="Where callers reach the host, before the settings file says it.",
+    help="Address for callers; overrides the one in the settings file.",
 )
 @click.option(
     "--orders",
@@ -84,14 +84,14 @@
     type=click.Choice([mode.value for mode in OrderMode]),
     default=OrderMode.ON.value,
     show_default=True,
-    help="Whether upstreams are ordered from the platform; a dry run only logs.",
+    help="Whether to order upstreams from the platform; a dry run only logs orders.",
 )
 @click.option(
     "--most-upstreams",
     envvar="RUDDERPASS_HOST_MOST_UPSTREAMS",
     show_envvar=True,
     type=click.IntRange(min=1),
-    help="In each availability zone, below the configuration's bound.",
+    help="Maximum per availability zone, within the configuration's bounds.",
 )
 @click.pass_obj
 def host(
@@ -101,15 +101,15 @@
     orders: str,
     most_upstreams: int | None,
 ) -> None:
-    """Serve exchanges on this host until told to stop.
+    """Serve requests on this host until it is told to stop.
 
-    SIGTERM begins a planned stop; SIGHUP reads the settings file again.
+    SIGTERM starts a graceful shutdown; SIGHUP reloads the settings file.
     """
     logging.getLogger("waitress").setLevel(logging.CRITICAL)
-    seen = _read_mtime(path)
+    last_mtime = _read_mtime(path)
     settings = read_settings_file(path)
     if listen is not None:
-        settings = replace(settings, front=listen)
+        settings = replace(settings, listen=listen)
     if settings.duties is not None:
         duties = replace(
             settings.duties,
@@ -120,62 +120,67 @@
     destination = LogFile(None, sys.stdout, MAX_LINES_PER_SECOND)
     destination.open()
     try:
-        running = ExchangeHost(
+        exchange_host = ExchangeHost(
             settings, make_platform(settings), lambda: destination.dropped, listener
         )
     except OSError as error:
         raise SettingsError(f"cannot listen: {error}", step="start") from error
-    running.start()
-    _run(running, path, seen)
+    exchange_host.start()
+    _run(exchange_host, path, last_mtime)
     destination.close(timeout=0.2)
-    # Threads that wait for a silent upstream must not hold the process.
+    # Threads blocked on an unresponsive upstream must not keep the process alive.
     os._exit(0)
 
 
-def _run(running: ExchangeHost, path: Path, seen: int) -> None:
-    """Wait for signals and carry them out.
+def _run(exchange_host: ExchangeHost, path: Path, last_mtime: int) -> None:
+    """Handle signals and reload changed settings until SIGTERM.
 
-    :param seen: when the settings file was last changed before it was read.
+    :param last_mtime: modification time of the settings file, taken before its last
+        read.
     """
     wake = threading.Event()
-    asked = {signal.SIGTERM: False, signal.SIGHUP: False}
+    pending = {signal.SIGTERM: False, signal.SIGHUP: False}
 
     def on_signal(number: int, frame: FrameType | None) -> None:
-        asked[signal.Signals(number)] = True
+        pending[signal.Signals(number)] = True
         wake.set()
 
-    for number in asked:
+    for number in pending:
         signal.signal(number, on_signal)
-    while not asked[signal.SIGTERM]:
+    while not pending[signal.SIGTERM]:
         wake.wait(SETTINGS_POLL_SECONDS)
         wake.clear()
         mtime = _read_mtime(path)
-        if asked[signal.SIGHUP] or mtime != seen:
-            asked[signal.SIGHUP] = False
-            seen = mtime
-            _reload(running, path)
-    running.stop()
+        if pending[signal.SIGHUP] or mtime != last_mtime:
+            pending[signal.SIGHUP] = False
+            last_mtime = mtime
+            _reload(exchange_host, path)
+    exchange_host.stop()
 
 
-def _reload(running: ExchangeHost, path: Path) -> None:
+def _reload(exchange_host: ExchangeHost, path: Path) -> None:
     try:
-        running.apply(read_settings_file(path))
+        exchange_host.apply(read_settings_file(path))
     except SettingsError as error:
-        log("host", "settings not readable, kept the last ones.", error=error.show())
+        log(
+            "host",
+            "settings are not readable; keeping the current ones.",
+            error=error.show(),
+        )
 
 
 def _read_mtime(path: Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError as error:
-        log("host", "settings file is not there.", error=str(error))
+        log("host", "settings file is not accessible.", error=str(error))
         return 0
 
 
 def main(listener: socket.socket | None) -> None:
-    """Run the command by itself, without the rest of the command line.
+    """Run only this command, without the rest of the command line.
 
-    :param listener: a socket for callers that listens already.
+    :param listener: a listening socket for callers.
     """
     try:
         host.main(standalone_mode=False, obj=listener)
--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -1,4 +1,7 @@
-"""A host's part in the duties, with its clock, log and calls to the platform."""
+"""The duties of a host: usage reports and upstream orders to the platform.
+
+One host at a time holds the duties, under a fencing token.
+"""
 
 from __future__ import annotations
 
@@ -47,20 +50,20 @@
 )
 from rudderpass.host._settings import DutySettings, OrderMode
 
-TELL_SECONDS = 1.0
-"""Between two datagrams with a host's counts; a killed host loses what it counted since
-the last one."""
+USAGE_SEND_SECONDS = 1.0
+"""Interval between heartbeats with a host's usage counts. A host that is killed loses
+what it has counted since the last one."""
 
 _MS = 1000
 
 
 class HostDuties:
-    """Counts, listens, and makes the calls whenever this host holds the duties.
+    """Counts usage, and makes the platform calls while this host holds the duties.
 
-    :param name: the host's name, as the platform knows it.
-    :param own: its address among its peers.
+    :param name: the host's name on the platform.
+    :param own: the host's peer address.
     :param surroundings: returns what the host knows of itself and its peers; called
-        under the guard.
+        with the lock held.
     :param stopping: set when the host stops.
 
     .. versionadded:: 0.2
@@ -73,7 +76,7 @@
         name: str,
         own: NodeId,
         core: ExchangeCore,
-        guard: threading.RLock,
+        lock: threading.RLock,
         surroundings: Callable[[float], Surroundings],
         stopping: threading.Event,
     ) -> None:
@@ -84,15 +87,17 @@
         self._name = name
         self._own = own
         self._core = core
-        self._guard = guard
+        self._lock = lock
         self._surroundings = surroundings
         self._stopping = stopping
         self._clock = WindowClock(settings.window, now, wall)
         self._counter = UsageCounter(self._clock, start)
-        self._book = UsageBook()
+        self._usage_tracker = UsageBook()
         self._reports_usage = settings.reports_usage
-        rule = ReportRule(settings.late)
-        reports = self._reports = UsageReports(rule, self._clock, self._book, now)
+        rule = ReportRule(settings.report_delay)
+        reports = self._reports = UsageReports(
+            rule, self._clock, self._usage_tracker, now
+        )
         makes_orders = settings.order_mode is not OrderMode.OFF
         makes_orders = makes_orders and settings.orders_upstreams
         self._orders = ScaleOrders() if makes_orders else None
@@ -104,33 +109,33 @@
             reports if settings.reports_usage else None,
             self._orders,
         )
-        self._next_tell = now
+        self._next_usage_at = now
         self._wake = threading.Event()
         self._thread: threading.Thread | None = None
 
     @property
     def news(self) -> DutyNews:
-        """What peers are told; to be read under the guard."""
+        """Duty status for peers; read it with the lock held."""
         return self._keeper.news
 
     @property
     def token(self) -> FencingToken | None:
-        """The token with which this host holds the duties; None if it does not."""
+        """The fencing token of this host; None if it does not hold the duties."""
         return self._keeper.token
 
     @property
     def reports_waiting(self) -> int:
-        """How many usage reports are settled and have not reached the platform."""
+        """Number of settled usage reports that have not reached the platform yet."""
         return self._reports.waiting if self.holds else 0
 
     @property
     def upstreams_wanted(self) -> int:
-        """How many upstreams this host wants, as the holder of the duties."""
+        """Number of upstreams wanted; 0 if this host does not hold the duties."""
         return self._orders.wanted if self.holds and self._orders is not None else 0
 
     @property
     def order_price(self) -> float:
-        """What the upstreams wanted cost in one second, by the declared prices."""
+        """Price per second of the upstreams wanted, by the declared prices."""
         return self._orders.price if self.holds and self._orders is not None else 0.0
 
     @property
@@ -138,59 +143,61 @@
         """Whether this host holds the duties."""
         return self._keeper.token is not None
 
-    def note_begun(self, team: TeamId | None, moment: float) -> None:
-        """Count a request that began to run at a moment."""
+    def record_started(self, team: TeamId | None, moment: float) -> None:
+        """Count a request that started to run at ``moment``."""
         if self._reports_usage:
-            with self._guard:
+            with self._lock:
                 self._counter.note_begun(team, moment)
 
-    def take(self, beat: Beat, now: float) -> None:
-        """Take what a peer's beat tells; called under the guard."""
-        if beat.duty is not None:
-            self._keeper.hear(beat.duty, beat.stopping, now)
-            self._forget_before(beat.duty.settled_before)
-        if beat.usage is not None:
-            self._book.take(beat.sender, beat.usage)
-
-    def find_telling(self, now: float) -> HostUsage | None:
-        """Return the counts that are to be told now; called under the guard."""
-        if not self._reports_usage or now < self._next_tell:
+    def receive(self, heartbeat: Beat, now: float) -> None:
+        """Apply a peer's heartbeat; call with the lock held."""
+        if heartbeat.duty is not None:
+            self._keeper.hear(heartbeat.duty, heartbeat.stopping, now)
+            self._remove_before(heartbeat.duty.settled_before)
+        if heartbeat.usage is not None:
+            self._usage_tracker.take(heartbeat.sender, heartbeat.usage)
+
+    def find_due_usage(self, now: float) -> HostUsage | None:
+        """Return the usage counts if they are due; call with the lock held."""
+        if not self._reports_usage or now < self._next_usage_at:
             return None
-        self._next_tell = now + TELL_SECONDS
+        self._next_usage_at = now + USAGE_SEND_SECONDS
         usage = self._counter.describe(now)
-        self._book.take(self._own, usage)
+        self._usage_tracker.take(self._own, usage)
         return usage
 
     def tick(self, now: float) -> None:
-        """Note the passing of time; have the calls made that are due."""
-        with self._guard:
+        """Update the state of the duties and wake the thread for due calls."""
+        with self._lock:
             self._clock.look(now, time.time())
-            around = self._surroundings(now)
-            held = self._keeper.token
-            self._keeper.look(around, now)
+            surroundings = self._surroundings(now)
+            previous_token = self._keeper.token
+            self._keeper.look(surroundings, now)
             if self.holds:
-                self._forget_before(self._keeper.news.settled_before)
-                self._look_at_upstreams(now)
-            is_due = self._keeper.next_action(around, now) is not None
-        self._log_change(held)
+                self._remove_before(self._keeper.news.settled_before)
+                self._update_orders(now)
+            is_due = self._keeper.next_action(surroundings, now) is not None
+        self._log_change(previous_token)
         if is_due:
             self._start_thread()
             self._wake.set()
 
-    def _forget_before(self, window: int) -> None:
+    def _remove_before(self, window: int) -> None:
         self._counter.forget_before(window)
-        self._book.forget_before(window)
+        self._usage_tracker.forget_before(window)
 
-    def _look_at_upstreams(self, now: float) -> None:
+    def _update_orders(self, now: float) -> None:
         config = self._core.directory.config
         if self._orders is None or config is None:
             return
         scaled = [
-            self._survey(s.name, s.scaling, now) for s in config.services if s.scaling
+            self._describe_service(s.name, s.scaling, now)
+            for s in config.services
+            if s.scaling
         ]
         self._orders.look(scaled, now)
 
-    def _survey(
+    def _describe_service(
         self, service: PoolId, traits: ScalingTraits, now: float
     ) -> ScaledService:
         if self._most_upstreams is not None:
@@ -202,7 +209,7 @@
         return ScaledService(service, traits, upstreams, busy)
 
     def _start_thread(self) -> None:
-        """Start the thread for the calls; most hosts never make any."""
+        """Start the thread for platform calls; most hosts never make any."""
         if self._thread is None:
             self._thread = threading.Thread(
                 target=self._run, name="duties", daemon=True
@@ -217,45 +224,45 @@
                 while self._step():
                     pass
             except Exception as error:
-                # Whatever it is must not end the duties of a host that serves.
+                # An unexpected error must not end the duties of a serving host.
                 log("fault", f"duties, {error}.", error=traceback.format_exc())
 
     def _step(self) -> bool:
-        """Make one call; tell whether there was any to be made."""
+        """Make the next call that is due; return whether there was one."""
         now = _clock.now()
-        with self._guard:
-            held = self._keeper.token
+        with self._lock:
+            previous_token = self._keeper.token
             action = self._keeper.next_action(self._surroundings(now), now)
         if action is None or self._stopping.is_set():
             return False
         self._perform(action)
-        self._log_change(held)
+        self._log_change(previous_token)
         return True
 
     @singledispatchmethod
     def _perform(self, action: Action) -> None:
-        raise TypeError(f"no call for {action}")
+        raise TypeError(f"unknown duty action: {action}")
 
     @_perform.register
     def _(self, action: ReadLog) -> None:
         try:
             page = self._access.store.read_newest(self._access.topic)
         except PlatformError as error:
-            self._note_log_failed(False, error)
+            self._record_log_failure(False, error)
             return
-        with self._guard:
+        with self._lock:
             self._keeper.note_log(read_duty_log(page), _clock.now())
 
     @_perform.register
     def _(self, action: WriteClaim) -> None:
         if self._append(action.end, HOLDER_KEY, encode_duty_holder(action.holder)):
-            with self._guard:
+            with self._lock:
                 self._keeper.note_claimed(action, _clock.now())
 
     @_perform.register
     def _(self, action: WriteUsage) -> None:
         if self._append(action.end, USAGE_KEY, encode_settled_usage(action.usage)):
-            with self._guard:
+            with self._lock:
                 self._keeper.note_usage_written(action)
 
     @_perform.register
@@ -275,20 +282,20 @@
             result=result.name.lower(),
             age=round(age, 3),
         )
-        with self._guard:
+        with self._lock:
             self._keeper.note_report(action, result, _clock.now())
 
     @_perform.register
     def _(self, action: SendOrder) -> None:
         subject = action.subject
-        result, word = CallResult.DONE, "not made, a dry run"
+        result, word = CallResult.DONE, "not sent, dry run"
         if not self._is_dry_run:
             result = self._access.platform.order_upstreams(
                 self._name, action.token, subject, action.count
             )
             word = result.value
         kind = "cheap" if subject.is_spot else "usual"
-        with self._guard:
+        with self._lock:
             inputs = self._describe_order(subject)
         log(
             "duty",
@@ -302,11 +309,11 @@
             result=result.name.lower(),
             **inputs,
         )
-        with self._guard:
+        with self._lock:
             self._keeper.note_order(action, result, _clock.now())
 
     def _describe_order(self, subject: ScaleSubject) -> dict[str, float]:
-        """Return what an order was decided by; to be called under the guard."""
+        """Return the inputs of a scaling decision; call with the lock held."""
         assert self._orders is not None
         return {
             "seen": self._orders.seen(subject),
@@ -320,21 +327,21 @@
                 self._access.topic, end, key, value
             )
         except PlatformError as error:
-            self._note_log_failed(False, error)
+            self._record_log_failure(False, error)
             return False
         if not is_written:
-            self._note_log_failed(True, None)
+            self._record_log_failure(True, None)
         return is_written
 
-    def _note_log_failed(self, is_passed: bool, error: PlatformError | None) -> None:
-        reason = "others have written" if error is None else error.show()
+    def _record_log_failure(self, is_passed: bool, error: PlatformError | None) -> None:
+        reason = "another host has written to it" if error is None else error.show()
         log("duty", "the log of the duties failed.", error=reason)
-        with self._guard:
+        with self._lock:
             self._keeper.note_log_failed(is_passed, _clock.now())
 
-    def _log_change(self, held: FencingToken | None) -> None:
+    def _log_change(self, previous_token: FencingToken | None) -> None:
         token = self._keeper.token
-        if token == held:
+        if token == previous_token:
             return
         word = "lost" if token is None else f"held with token {token}"
-        log("duty", f"the duties are {word}.", token=token, before=held)
+        log("duty", f"the duties are {word}.", token=token, before=previous_token)
--- a/src/rudderpass/host/_duty_access.py
+++ b/src/rudderpass/host/_duty_access.py
@@ -1,4 +1,4 @@
-"""What the duties of a host need of its platform, and how their log is read."""
+"""Interfaces to the platform used by the duties, and the reader of their log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class DutyStore(Protocol):
-    """The platform's store as the duties use it."""
+    """The operations of the platform's store that the duties use."""
 
     def read_newest(self, topic: str) -> KeyedPage:
         """Return the newest record of each key of a topic.
@@ -35,31 +35,31 @@
         """
 
     def append_at(self, topic: str, end: int, key: str, value: bytes) -> bool:
-        """Write a record if the topic still ends at ``end``; tell whether it was.
+        """Append a record if the topic still ends at ``end``; return whether it did.
 
-        :raises PlatformError: when nobody knows.
+        :raises PlatformError: when it is unknown whether the record was written.
         """
 
 
 class DutyPlatform(Protocol):
-    """The calls to the platform that only the holder of the duties makes."""
+    """Platform calls that only the holder of the duties makes."""
 
     def report_usage(
         self, holder: str, token: FencingToken, usage: WindowUsage
     ) -> CallResult:
-        """Report a window's usage."""
+        """Report the usage of one window."""
 
     def order_upstreams(
         self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
     ) -> CallResult:
-        """Order a number of upstreams."""
+        """Order ``count`` upstreams."""
 
 
 @dataclass(frozen=True)
 class DutyAccess:
-    """What an adapter brings for the duties.
+    """The platform adapter's parts for the duties.
 
-    :param topic: of the log of the duties in the store.
+    :param topic: topic of the duties' log in the store.
     """
 
     store: DutyStore
@@ -68,7 +68,7 @@
 
 
 def read_duty_log(page: KeyedPage) -> DutyLog:
-    """Return what the records of the log of the duties say."""
+    """Decode the records of the duties' log."""
     records: Mapping[str, tuple[int, bytes]] = {
         record.key: (record.offset, record.value)
         for record in page.records
@@ -85,7 +85,7 @@
 
 
 def _read_holder(data: bytes) -> DutyHolder | None:
-    """Return who claimed the duties; None, nobody alive, for an unreadable claim."""
+    """Return the claimant; None, treated as not alive, for an unreadable claim."""
     try:
         return decode_duty_holder(data)
     except PeerError as error:
--- a/src/rudderpass/host/_gossip_protocol.py
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -1,6 +1,6 @@
-"""What a host tells its peers, and what it takes from what they tell.
+"""Gossip between hosts: composes heartbeats and applies received ones.
 
-Without sockets or a clock of its own, so that many hosts can be played in a test.
+It has no sockets and no clock, so that a test can simulate many hosts.
 """
 
 from __future__ import annotations
@@ -31,34 +31,37 @@
 from rudderpass.learning import StreamSample
 from rudderpass.quarantine import SuspectNews
 
-PRESENCE_BEATS = 2
-"""One relayed beat in so many also tells that this host is there: one that follows the
-store tells all hosts, since they replace a follower that they have not heard for 1.2 s,
-and a relay tells those that it does not serve, since they pass it over after 1.5 s."""
+HEARTBEATS_PER_PRESENCE = 2
+"""With relays, one heartbeat in so many also announces this host beyond the relays. A
+store follower announces itself to all hosts, which replace a follower not heard for
+1.2 s. A relay announces itself to the hosts that it does not serve, which stop using a
+relay not heard for 1.5 s."""
 
-MEMBERS_BEATS = 4
-"""So many digests, of one second, name all hosts of the other zones between them: a
-host counts as live for 3 s, and each name takes some 20 bytes."""
+HEARTBEATS_PER_MEMBER_LIST = 4
+"""Number of digests, sent within one second, that together list all hosts of the other
+zones. One digest need not list all: a host counts as live for 3 s, and each entry takes
+about 20 bytes."""
 
-MAX_TOLD_LEAVING = 50
-"""Maximum number of leaving upstreams in one beat."""
+MAX_LEAVING_REPORTED = 50
+"""Maximum number of leaving upstreams in one heartbeat."""
 
 
 @dataclass(frozen=True)
 class Message:
-    """A beat and whom to send it to."""
+    """A heartbeat and its recipients."""
 
-    beat: Beat
+    heartbeat: Beat
     targets: list[NodeId]
 
 
-class Telling:
-    """One host's part in telling.
+class GossipProtocol:
+    """Composes one host's heartbeats and applies those of its peers.
 
     :param zone: the host's availability zone.
-    :param link_mbps: what its link carries, Mbit/s.
-    :param is_current: tells whether the host hears the platform's store by itself.
-    :param read_duty: returns what is told of the duties; None where there are none.
+    :param link_mbps: bandwidth of its link, Mbit/s.
+    :param is_current: returns whether the host receives updates from the platform's
+        store itself.
+    :param read_duty: returns the duty status for peers; None if there are no duties.
 
     Not thread-safe: the host's lock guards it.
 
@@ -71,7 +74,7 @@
         zone: AvailabilityZone,
         link_mbps: int,
         core: ExchangeCore,
-        mesh: Mesh,
+        peer_table: Mesh,
         is_current: Callable[[float], bool],
         read_duty: Callable[[], DutyNews | None] = lambda: None,
     ) -> None:
@@ -79,102 +82,108 @@
         self._zone = zone
         self._link_mbps = link_mbps
         self._core = core
-        self._mesh = mesh
+        self._peer_table = peer_table
         self._is_current = is_current
         self._read_duty = read_duty
-        self._relaying = Relaying(own, zone, link_mbps, mesh)
+        self._relaying = Relaying(own, zone, link_mbps, peer_table)
         self._rng = random.Random(own)
-        self._numbers: dict[NodeId, int] = {}
-        self._number = 0
+        self._heartbeat_numbers: dict[NodeId, int] = {}
+        self._heartbeat_number = 0
 
     @property
     def is_relay(self) -> bool:
-        """Whether this host sums up what others do."""
+        """Whether this host is a relay, which aggregates the reports of its zone."""
         return self._relaying.is_relay
 
-    def greet(self, now: float, is_relayed: bool) -> Beat:
-        """Return a beat for a peer that may not know this host."""
-        return self._make_beat(
+    def make_greeting(self, now: float, is_relayed: bool) -> Beat:
+        """Return a heartbeat for a peer that may not know this host."""
+        return self._make_heartbeat(
             now,
-            has_work=not is_relayed,
+            has_loads=not is_relayed,
             suspects=self._core.quarantine.describe_quarantined(now),
             rate_limits=self._core.rate_limits.describe(now),
         )
 
-    def tell_usage(self, usage: HostUsage, now: float) -> Beat:
-        """Return a beat for hosts that gather the counts for the usage reports."""
-        return self._make_beat(now, has_work=False, usage=usage)
+    def make_usage_heartbeat(self, usage: HostUsage, now: float) -> Beat:
+        """Return a heartbeat for the hosts that collect counts for usage reports."""
+        return self._make_heartbeat(now, has_loads=False, usage=usage)
 
     def compose(
-        self, now: float, is_relayed: bool, has_store_news: bool = False
+        self, now: float, is_relayed: bool, has_store_update: bool = False
     ) -> list[Message]:
-        """Return the beats that are due.
+        """Return the heartbeats that are due.
 
-        :param is_relayed: whether relays tell of all; otherwise each host tells each.
-        :param has_store_news: whether the store has just told this host something; then
-            it tells all others at once that it is ahead of them.
+        :param is_relayed: whether relays aggregate reports; otherwise each host sends
+            to each.
+        :param has_store_update: whether this host has just received an update from the
+            store; then it announces to all hosts at once that it is ahead of them.
         """
-        self._number += 1
-        self._core.loads.note_told(self._number, now)
+        self._heartbeat_number += 1
+        self._core.loads.note_told(self._heartbeat_number, now)
         suspects = self._core.quarantine.tell(now)
         rate_limits = self._core.rate_limits.tell(now)
-        beat = self._make_beat(
+        heartbeat = self._make_heartbeat(
             now,
             suspects=suspects,
             prompts=tuple(self._core.caches.drain()),
             streams=tuple(self._core.drain_streams()),
-            names_peers=self._number % NAMING_BEATS == 0,
+            names_peers=self._heartbeat_number % NAMING_BEATS == 0,
             rate_limits=rate_limits,
         )
         if not is_relayed:
             self._core.loads.is_relay = self._relaying.is_relay = False
-            return [Message(beat, self._mesh.targets(now))]
+            return [Message(heartbeat, self._peer_table.targets(now))]
         relays = self._relaying.choose(now)
         self._core.loads.is_relay = self._relaying.is_relay
         messages = [
-            Message(beat, [relay for relay in relays if relay != self._own]),
+            Message(heartbeat, [relay for relay in relays if relay != self._own]),
             Message(
-                self.greet(now, True),
-                self._presence_targets(relays, has_store_news, now),
+                self.make_greeting(now, True),
+                self._presence_targets(relays, has_store_update, now),
             ),
         ]
         if self._relaying.is_relay:
-            self._relaying.take(True, beat.prompts, beat.streams, now)
+            self._relaying.take(True, heartbeat.prompts, heartbeat.streams, now)
             messages += self._compose_digests(relays, suspects, rate_limits, now)
         return [message for message in messages if message.targets]
 
-    def take(self, beat: Beat, now: float) -> bool:
-        """Take a peer's beat; tell whether the peer was not live before."""
-        is_news = self._mesh.take_beat(beat, now)
-        if beat.loads is not None:
-            self._numbers[beat.sender] = beat.number
+    def receive(self, heartbeat: Beat, now: float) -> bool:
+        """Apply a peer's heartbeat; return whether the peer was not live before."""
+        is_new = self._peer_table.take_beat(heartbeat, now)
+        if heartbeat.loads is not None:
+            self._heartbeat_numbers[heartbeat.sender] = heartbeat.number
             self._core.take_work(
-                beat.sender, ToldWork(beat.loads, beat.reading), beat.zone, now
+                heartbeat.sender,
+                ToldWork(heartbeat.loads, heartbeat.reading),
+                heartbeat.zone,
+                now,
             )
-        self._core.take_news(beat.prompts, beat.streams, now)
-        self._core.quarantine.take(beat.suspects, self._relaying.is_relay, now)
-        for upstream, rate in self._core.rate_limits.take(beat.rate_limits, now):
-            log_rate_limit(upstream, rate, beat.sender)
-        for upstream in beat.leaving:
+        self._core.take_news(heartbeat.prompts, heartbeat.streams, now)
+        self._core.quarantine.take(heartbeat.suspects, self._relaying.is_relay, now)
+        for upstream, rate in self._core.rate_limits.take(heartbeat.rate_limits, now):
+            log_rate_limit(upstream, rate, heartbeat.sender)
+        for upstream in heartbeat.leaving:
             if self._core.directory.note_leaving(upstream):
-                log_leaving(upstream, beat.sender)
-        if beat.digest is not None:
-            self._take_digest(beat.digest, beat.zone, now)
+                log_leaving(upstream, heartbeat.sender)
+        if heartbeat.digest is not None:
+            self._receive_digest(heartbeat.digest, heartbeat.zone, now)
         if self._relaying.is_relay:
-            is_own_zone = beat.zone == self._zone
-            self._relaying.take(is_own_zone, beat.prompts, beat.streams, now)
-        return is_news
+            is_own_zone = heartbeat.zone == self._zone
+            self._relaying.take(is_own_zone, heartbeat.prompts, heartbeat.streams, now)
+        return is_new
 
-    def forget_old(self, now: float) -> None:
-        """Forget what is out of date."""
+    def remove_expired(self, now: float) -> None:
+        """Remove expired entries."""
         self._relaying.forget_old(now)
-        live = set(self._mesh.live(now))
-        self._numbers = {h: number for h, number in self._numbers.items() if h in live}
+        live = set(self._peer_table.live(now))
+        self._heartbeat_numbers = {
+            h: number for h, number in self._heartbeat_numbers.items() if h in live
+        }
 
-    def _take_digest(
+    def _receive_digest(
         self, digest: Digest, zone: AvailabilityZone | None, now: float
     ) -> None:
-        self._mesh.take_digest(digest, now)
+        self._peer_table.take_digest(digest, now)
         work = ToldWork(digest.loads, digest.reading)
         if digest.is_whole and zone == self._zone:
             number = digest.find_number(self._own, self._zone)
@@ -183,18 +192,18 @@
             self._core.loads.take_zone(zone, work, now)
 
     def _presence_targets(
-        self, relays: list[NodeId], has_store_news: bool, now: float
+        self, relays: list[NodeId], has_store_update: bool, now: float
     ) -> list[NodeId]:
-        """Return whom to tell that this host is there, besides the relays."""
-        targets = self._mesh.draw_silent(now)
-        if self._number % PRESENCE_BEATS and not has_store_news:
+        """Return the hosts besides the relays to which this host announces itself."""
+        targets = self._peer_table.draw_silent(now)
+        if self._heartbeat_number % HEARTBEATS_PER_PRESENCE and not has_store_update:
             return targets
-        if has_store_news or self._is_current(now) or self._holds_duties:
-            hosts = self._mesh.live(now)
+        if has_store_update or self._is_current(now) or self._holds_duties:
+            hosts = self._peer_table.live(now)
         elif self._relaying.is_relay:
             hosts = [
                 host
-                for host in self._mesh.live_in(self._zone, now)
+                for host in self._peer_table.live_in(self._zone, now)
                 if choose_server(host, relays) != self._own
             ]
         else:
@@ -203,7 +212,7 @@
 
     @property
     def _holds_duties(self) -> bool:
-        """Whether this host holds the duties: others replace one they do not hear."""
+        """Whether this host holds the duties; others replace a holder not heard."""
         duty = self._read_duty()
         return duty is not None and duty.holds
 
@@ -216,16 +225,19 @@
     ) -> list[Message]:
         hosts = [
             host
-            for host in self._mesh.live_in(self._zone, now)
-            if host in self._numbers
+            for host in self._peer_table.live_in(self._zone, now)
+            if host in self._heartbeat_numbers
         ]
         members = (
             self._describe_own(now),
-            *(self._mesh.describe(host, self._numbers[host], now) for host in hosts),
+            *(
+                self._peer_table.describe(host, self._heartbeat_numbers[host], now)
+                for host in hosts
+            ),
         )
         prompts, streams = self._relaying.for_relays.drain()
         work = self._core.loads.sum_zone(self._zone, now)
-        for_relays = self._make_beat(
+        for_relays = self._make_heartbeat(
             now,
             suspects=suspects,
             prompts=prompts,
@@ -236,7 +248,7 @@
         prompts, streams = self._relaying.for_zone.drain()
         work = self._core.loads.sum_all(now)
         named = {self._zone: members, **self._describe_others(now)}
-        for_zone = self._make_beat(
+        for_zone = self._make_heartbeat(
             now,
             suspects=suspects,
             prompts=prompts,
@@ -246,13 +258,14 @@
         )
         return [
             Message(for_relays, self._relaying.choose_others(now)),
-            Message(for_zone, self._served(hosts, relays)),
+            Message(for_zone, self._hosts_served(hosts, relays)),
         ]
 
-    def _served(self, hosts: list[NodeId], relays: list[NodeId]) -> list[NodeId]:
-        """Return the hosts to which this relay tells of all.
+    def _hosts_served(self, hosts: list[NodeId], relays: list[NodeId]) -> list[NodeId]:
+        """Return the hosts to which this relay sends its digest of all zones.
 
-        In an order of chance, so that a full link does not lose the same ones' always.
+        The order is random, so that a saturated link does not always drop the
+        datagrams of the same hosts.
         """
         served = [
             host
@@ -266,7 +279,7 @@
         directory = self._core.directory
         return Member(
             self._own,
-            self._number,
+            self._heartbeat_number,
             0.0,
             directory.config_offset,
             directory.upstreams_end,
@@ -279,30 +292,35 @@
     def _describe_others(
         self, now: float
     ) -> dict[AvailabilityZone, tuple[Member, ...]]:
-        """Return some hosts of the other zones, all of them in MEMBERS_BEATS beats."""
-        turn = self._number % MEMBERS_BEATS
+        """Return some hosts of the other zones.
+
+        All of them are covered within HEARTBEATS_PER_MEMBER_LIST heartbeats.
+        """
+        first = self._heartbeat_number % HEARTBEATS_PER_MEMBER_LIST
         return {
             zone: tuple(
-                self._mesh.describe(host, 0, now)
-                for host in sorted(self._mesh.live_in(zone, now))[turn::MEMBERS_BEATS]
+                self._peer_table.describe(host, 0, now)
+                for host in sorted(self._peer_table.live_in(zone, now))[
+                    first::HEARTBEATS_PER_MEMBER_LIST
+                ]
             )
-            for zone in self._mesh.zones(now)
+            for zone in self._peer_table.zones(now)
             if zone != self._zone
         }
 
-    def _make_beat(
+    def _make_heartbeat(
         self,
         now: float,
         prompts: tuple[SentPrompt, ...] = (),
         streams: tuple[StreamSample, ...] = (),
         names_peers: bool = False,
         digest: Digest | None = None,
-        has_work: bool = True,
+        has_loads: bool = True,
         suspects: tuple[SuspectNews, ...] = (),
         usage: HostUsage | None = None,
         rate_limits: tuple[RateLimitNews, ...] = (),
     ) -> Beat:
-        tells_work = has_work and digest is None
+        has_load_report = has_loads and digest is None
         directory = self._core.directory
         loads = self._core.loads
         return Beat(
@@ -310,20 +328,20 @@
             directory.config_offset,
             directory.upstreams_end,
             self._core.is_stopping,
-            loads.own if tells_work else None,
+            loads.own if has_load_report else None,
             prompts,
-            self._mesh.named(now) if names_peers else (),
+            self._peer_table.named(now) if names_peers else (),
             self._core.is_warm,
             self._is_current(now),
             streams,
-            loads.own_reading(now) if tells_work else {},
+            loads.own_reading(now) if has_load_report else {},
             self._zone,
-            self._number,
+            self._heartbeat_number,
             digest,
             self._link_mbps,
             suspects,
             self._read_duty(),
             usage,
             rate_limits,
-            tuple(directory.reported_leaving[-MAX_TOLD_LEAVING:]),
+            tuple(directory.reported_leaving[-MAX_LEAVING_REPORTED:]),
         )
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -1,4 +1,4 @@
-"""One host: the exchange's decisions with their sockets, store, peers and clock."""
+"""A host: connects the routing decisions to sockets, store, peers and clock."""
 
 from __future__ import annotations
 
@@ -30,27 +30,33 @@
 from rudderpass.host._duties import HostDuties
 from rudderpass.host._duty_access import DutyAccess
 from rudderpass.host._metrics import HostGauges, HostMetrics
-from rudderpass.host._peers import PeerTalk
+from rudderpass.host._peers import PeerGossip
 from rudderpass.host._quarantine import QuarantineControl
-from rudderpass.host._registry import HostRegistry, HostStore, Registered, Registration
+from rudderpass.host._registry import (
+    HostRegistry,
+    HostStore,
+    Registration,
+    RegistryContents,
+)
 from rudderpass.host._settings import HostSettings
 from rudderpass.host._stopping import StopSchedule, StopStep
-from rudderpass.host._suspension import NewsSources, Waking
+from rudderpass.host._suspension import RefreshSources, SuspensionRecovery
 from rudderpass.host._warmup import CacheWarmup, PartsReader, WarmupParts
 from rudderpass.webserver import HttpServer, ServerLimits
 
 TICK_SECONDS = 0.25
-FRONT_LIMITS = ServerLimits(threads=256, connections=3000)
-"""A host has 3,900 descriptors for sockets; a burst at a small deployment keeps
-40 requests under way on one host. Threads start only as they are needed."""
+CALLER_SERVER_LIMITS = ServerLimits(threads=256, connections=3000)
+"""A host has 3,900 file descriptors for sockets. In a small deployment a burst keeps
+40 requests in flight on one host. Threads are started only when needed."""
 
 IDLE_MARGIN_SECONDS = 2
-"""A caller may use a connection just before its idle time ends."""
+"""Added to the configured idle timeout, since a caller may reuse a connection just
+before it ends."""
 
 
 @dataclass(frozen=True)
 class Platform:
-    """What an adapter brings: the store, its topics, and how all is written."""
+    """A platform adapter: the store, its topics, and the formats of its data."""
 
     store: HostStore
     dialect: ExchangeDialect
@@ -64,12 +70,12 @@
 
 
 class ExchangeHost:
-    """A whole host.
+    """A complete host.
 
-    :param settings: checked settings.
-    :param platform: the adapter's parts.
-    :param dropped_lines: returns how many log lines were dropped.
-    :param listener: a socket for callers that listens already.
+    :param settings: validated settings.
+    :param platform: the platform adapter.
+    :param dropped_lines: returns the number of dropped log lines.
+    :param listener: a listening socket for callers.
 
     .. versionadded:: 0.2
     """
@@ -84,7 +90,7 @@
         self._settings = settings
         self._platform = platform
         self._dropped_lines = dropped_lines
-        self._guard = threading.RLock()
+        self._lock = threading.RLock()
         self._directory = Directory(
             platform.decoders, platform.config_key, settings.drain_bound
         )
@@ -93,51 +99,51 @@
             self._directory,
             settings.retries,
             settings.reread_window,
-            lambda: self._peers.mesh.count_hosts(_clock.now()),
+            lambda: self._peers.peer_table.count_hosts(_clock.now()),
             None if settings.is_first_start else _clock.now(),
-            lambda upstream, now: self._peers.mesh.rank_host(upstream, now),
+            lambda upstream, now: self._peers.peer_table.rank_host(upstream, now),
         )
-        self._peers = PeerTalk(
+        self._peers = PeerGossip(
             settings.peer,
             settings.zone,
             settings.link_mbps,
             settings.seeds,
             self._core,
-            self._guard,
-            self._note_learned,
-            lambda now: self._waking.note_peer_news(now),
+            self._lock,
+            self._record_learned,
+            lambda now: self._suspension_recovery.record_peer_current(now),
         )
         self._stopping = threading.Event()
         self._duties = self._make_duties()
         self._connections = UpstreamConnections()
         self._metrics = HostMetrics(self._read_gauges, lambda: self._directory.unusable)
         self._informed = threading.Event()
-        self._settled = threading.Event()
+        self._initialized = threading.Event()
         parts = ExchangeParts(
             self._core,
-            self._guard,
+            self._lock,
             self._connections,
             platform.dialect,
             self._metrics.record,
-            self._metrics.record_repeat,
-            self._settled,
-            self._peers.tell_soon,
-            lambda: self._waking.look(),
-            self._note_begun,
+            self._metrics.record_retry,
+            self._initialized,
+            self._peers.send_soon,
+            lambda: self._suspension_recovery.check(),
+            self._record_started,
         )
         self._app = ExchangeApp(parts)
-        self._front = HttpServer(
-            self._app, settings.front, FRONT_LIMITS, listener=listener
+        self._caller_server = HttpServer(
+            self._app, settings.listen, CALLER_SERVER_LIMITS, listener=listener
         )
-        self._ready = make_ready_server(settings.ready, self._is_ready)
+        self._ready_server = make_ready_server(settings.ready, self._is_ready)
         registry = HostRegistry(
             platform.store, platform.hosts_topic, self._peers.address, settings.zone
         )
         self._quarantine = QuarantineControl(
             self._core.quarantine,
-            self._guard,
+            self._lock,
             registry,
-            self._peers.tell_soon,
+            self._peers.send_soon,
             self._stopping,
         )
         self._metrics_server = make_metrics_server(
@@ -147,32 +153,32 @@
             platform.store,
             self._directory,
             (platform.config_topic, platform.upstreams_topic),
-            self._guard,
-            self._note_store_news,
-            self._note_store,
+            self._lock,
+            self._record_store_update,
+            self._record_reachability,
         )
-        self._waking = Waking(
+        self._suspension_recovery = SuspensionRecovery(
             self._core,
-            self._guard,
-            self._settled,
-            NewsSources(
+            self._lock,
+            self._initialized,
+            RefreshSources(
                 self._follower.read_now,
                 self._peers.greet_all,
-                self._peers.mesh.has_informed,
+                self._peers.peer_table.has_informed,
             ),
         )
         warmup = CacheWarmup(
             WarmupParts(
                 self._core,
-                self._peers.mesh,
-                self._guard,
+                self._peers.peer_table,
+                self._lock,
                 self._peers.transport,
                 platform.read_parts,
             ),
             self._stopping,
         )
         registration = Registration(
-            registry, settings.is_first_start, self._take_registered, self._stopping
+            registry, settings.is_first_start, self._apply_registered, self._stopping
         )
         self._threads = [
             threading.Thread(target=target, name=name, daemon=True)
@@ -186,57 +192,57 @@
 
     @property
     def address(self) -> str:
-        """Where callers reach the host."""
-        return self._front.address
+        """Address at which callers reach the host."""
+        return self._caller_server.address
 
     @property
     def ready_address(self) -> str:
-        """Where the balancer asks whether the host is ready."""
-        return self._ready.address
+        """Address of the load balancer's readiness check."""
+        return self._ready_server.address
 
     @property
     def metrics_address(self) -> str:
-        """Where the metrics are served."""
+        """Address of the metrics."""
         return self._metrics_server.address
 
     @property
     def peer_address(self) -> NodeId:
-        """Where other hosts reach it."""
+        """Address at which other hosts reach this host."""
         return self._peers.address
 
     @property
     def is_ready(self) -> bool:
-        """Whether the host takes callers."""
+        """Whether the host accepts requests."""
         return self._is_ready()
 
     @property
     def is_warm(self) -> bool:
-        """Whether the host knows what the upstreams keep in their caches."""
+        """Whether the host knows the contents of the upstreams' caches."""
         return self._core.is_warm
 
     def start(self) -> None:
-        """Start all parts."""
+        """Start all servers and threads."""
         self._follower.start()
         self._peers.start(self._follower, self._duties)
-        self._ready.start()
+        self._ready_server.start()
         self._metrics_server.start()
-        self._front.start()
+        self._caller_server.start()
         for thread in self._threads:
             thread.start()
         log("host", f"{self._settings.name} listens on {self.address}.")
 
     def apply(self, settings: HostSettings) -> None:
-        """Take settings that may change while the host runs."""
-        with self._guard:
+        """Apply the settings that may change while the host runs."""
+        with self._lock:
             self._core.set_rule(settings.retries)
         self._settings = settings
-        log("host", "settings were read again.", retries=str(settings.retries))
+        log("host", "settings reloaded.", retries=str(settings.retries))
 
     def stop(self) -> int:
-        """Stop in order; return how many requests were cut."""
+        """Shut down gracefully; return the number of requests cut off."""
         began = _clock.now()
         schedule = StopSchedule(self._settings.stop_grace)
-        with self._guard:
+        with self._lock:
             self._core.stop()
         log("host", "stopping, not ready any more.", active=self._app.active)
         while True:
@@ -244,56 +250,56 @@
             if step is StopStep.EXIT:
                 break
             if step is StopStep.CLOSE_IDLE:
-                self._front.close_idle()
+                self._caller_server.close_idle()
             if step is StopStep.REFUSE:
-                with self._guard:
+                with self._lock:
                     self._core.refuse_all()
-                self._front.close_idle()
-            time.sleep(schedule.pause_seconds)
+                self._caller_server.close_idle()
+            time.sleep(schedule.poll_seconds)
         cut = self._app.active
-        log("host", f"stopped, {cut} requests cut.", cut=cut)
+        log("host", f"stopped, {cut} requests cut off.", cut=cut)
         self.close()
         return cut
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Close all servers and connections at once."""
         self._stopping.set()
         self._follower.close()
-        self._front.close()
-        self._ready.close()
+        self._caller_server.close()
+        self._ready_server.close()
         self._metrics_server.close()
         self._peers.close()
         self._connections.close()
 
     def _is_ready(self) -> bool:
-        self._waking.look()
+        self._suspension_recovery.check()
         return self._core.is_ready
 
     def _tick(self) -> None:
         while not self._stopping.is_set():
             try:
-                self._do_due(_clock.now())
+                self._run_due(_clock.now())
             except Exception as error:
-                # Whatever it is must not end the beats of a host that serves.
+                # An unexpected error must not end the heartbeats of a serving host.
                 log("fault", f"tick, {error}.", error=traceback.format_exc())
             self._peers.wait(TICK_SECONDS)
 
-    def _do_due(self, now: float) -> None:
-        self._waking.look()
-        self._waking.give_up(now)
+    def _run_due(self, now: float) -> None:
+        self._suspension_recovery.check()
+        self._suspension_recovery.check_timeout(now)
         self._quarantine.tick(now)
-        with self._guard:
-            gone = self._core.tick(now)
-        for entry in gone:
+        with self._lock:
+            removed = self._core.tick(now)
+        for entry in removed:
             self._connections.forget(entry.address)
-            log("upstream", f"{entry.upstream} is gone.", upstream=entry.upstream)
+            log("upstream", f"{entry.upstream} was removed.", upstream=entry.upstream)
         self._connections.close_expired(now)
         if self._duties is not None:
             self._duties.tick(now)
-        self._peers.do_due(now)
+        self._peers.run_due(now)
 
     def _make_duties(self) -> HostDuties | None:
-        """Return this host's part in the duties, where the platform has any."""
+        """Return this host's duties, or None if the platform has none."""
         settings, access = self._settings, self._platform.duties
         if settings.duties is None or access is None:
             return None
@@ -303,35 +309,35 @@
             settings.name,
             self._peers.address,
             self._core,
-            self._guard,
-            self._peers.survey,
+            self._lock,
+            self._peers.read_surroundings,
             self._stopping,
         )
 
-    def _note_begun(self, team: TeamId | None, moment: float) -> None:
+    def _record_started(self, team: TeamId | None, moment: float) -> None:
         if self._duties is not None:
-            self._duties.note_begun(team, moment)
+            self._duties.record_started(team, moment)
 
-    def _take_registered(self, registered: Registered | None) -> None:
-        """Take what the hosts keep in the store; None where it does not answer."""
+    def _apply_registered(self, registered: RegistryContents | None) -> None:
+        """Apply the hosts' records; None if the store does not answer."""
         if registered is None:
-            self._peers.meet(())
-            self._note_unanswered()
+            self._peers.add_peers(())
+            self._release_waiting_requests()
             return
-        with self._guard:
-            book = self._core.quarantine
-            book.take(registered.quarantined, False, _clock.now())
-        self._peers.meet(registered.hosts)
+        with self._lock:
+            tracker = self._core.quarantine
+            tracker.take(registered.quarantined, False, _clock.now())
+        self._peers.add_peers(registered.hosts)
 
-    def _note_store_news(self, learned: list[Learned]) -> None:
-        """Take news from the store, and tell those who rely on this host at once."""
+    def _record_store_update(self, learned: list[Learned]) -> None:
+        """Apply a store update, and announce it to dependent hosts at once."""
         was_informed = self._informed.is_set()
-        self._note_learned(learned)
+        self._record_learned(learned)
         if learned:
             is_first = not was_informed and self._informed.is_set()
-            self._peers.tell_store_news(is_first, _clock.now())
+            self._peers.send_store_update(is_first, _clock.now())
 
-    def _note_learned(self, learned: list[Learned]) -> None:
+    def _record_learned(self, learned: list[Learned]) -> None:
         for change in learned:
             log(
                 "belief",
@@ -343,17 +349,17 @@
         if self._directory.is_complete:
             self._informed.set()
             if not self._core.is_doubting:
-                self._settled.set()
+                self._initialized.set()
         config = self._directory.config
         if config is not None and learned:
             limits = config.limits
-            self._front.set_limits(
+            self._caller_server.set_limits(
                 limits.header_bytes,
                 limits.body_bytes,
                 int(limits.idle_timeout) + IDLE_MARGIN_SECONDS,
             )
 
-    def _note_store(self, change: Reachability) -> None:
+    def _record_reachability(self, change: Reachability) -> None:
         word = "regained" if change.is_reachable else "lost"
         log(
             "store",
@@ -362,17 +368,17 @@
             silent_for=round_age(change.silent_for),
         )
         if not change.is_reachable:
-            self._note_unanswered()
+            self._release_waiting_requests()
 
-    def _note_unanswered(self) -> None:
-        """Let requests wait no longer for what nobody can tell this host now."""
-        with self._guard:
-            knows_none = not self._peers.mesh.has_informed(_clock.now())
-            if knows_none and not self._core.is_doubting:
-                self._settled.set()
+    def _release_waiting_requests(self) -> None:
+        """Release waiting requests if no live peer can provide a configuration."""
+        with self._lock:
+            has_no_source = not self._peers.peer_table.has_informed(_clock.now())
+            if has_no_source and not self._core.is_doubting:
+                self._initialized.set()
 
     def _read_gauges(self) -> HostGauges:
-        with self._guard:
+        with self._lock:
             config = self._directory.config
             duties = self._duties
             return HostGauges(
@@ -382,7 +388,7 @@
                 upstreams=len(self._directory.listed),
                 upstreams_ending=self._directory.ending_count,
                 list_age_seconds=self._directory.list_age(_clock.now()),
-                live_peers=len(self._peers.mesh.live(_clock.now())),
+                live_peers=len(self._peers.peer_table.live(_clock.now())),
                 is_relay=self._peers.is_relay,
                 store_reachable=self._follower.is_reachable,
                 store_calls=self._platform.store.calls,
--- a/src/rudderpass/host/_metrics.py
+++ b/src/rudderpass/host/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, latencies and gauges of one host, exposed in Prometheus' format."""
+"""Metrics of a host, exposed in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from prometheus_client.core import Metric
 
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 2.5, 5.0, 10.0)
-"""Seconds; the users' latency targets are 0.15 to 2.5 s."""
+"""Seconds. The buckets cover the latency targets of users, 0.15 to 2.5 s."""
 
 
 @dataclass(frozen=True)
 class HostGauges:
-    """Values of the moment."""
+    """Current values, each exposed as a gauge named after its field."""
 
     active: int
     config_version: int
@@ -47,8 +47,8 @@
 
 
 @dataclass
-class _Latencies:
-    """How many latencies lie in each bucket, the last one without bound."""
+class _LatencyHistogram:
+    """A latency histogram; the last bucket has no upper bound."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(LATENCY_BUCKETS) + 1))
     total: float = 0.0
@@ -57,8 +57,8 @@
         self.counts[bisect_left(LATENCY_BUCKETS, seconds)] += 1
         self.total += seconds
 
-    def cumulated(self) -> list[tuple[str, float]]:
-        """Return the buckets as Prometheus wants them."""
+    def cumulative_buckets(self) -> list[tuple[str, float]]:
+        """Return the cumulative buckets that Prometheus expects."""
         buckets: list[tuple[str, float]] = []
         seen = 0
         for bound, count in zip((*LATENCY_BUCKETS, "+Inf"), self.counts, strict=True):
@@ -68,13 +68,13 @@
 
 
 class HostMetrics:
-    """What one host counted since its start.
+    """Metrics of one host since its start.
 
-    The exposition library is loaded at the first look: a starting host has better uses
-    for its processor, where that takes 40 ms.
+    prometheus_client is imported on the first scrape: importing it takes 40 ms of
+    processor time, which would delay the start of the host.
 
-    :param gauges: returns the values of the moment.
-    :param unusable: returns how many records could not be used, by reason.
+    :param gauges: returns the current values.
+    :param unusable: returns the numbers of unusable records, by reason.
 
     .. versionadded:: 0.2
     """
@@ -87,41 +87,45 @@
         self._gauges = gauges
         self._unusable = unusable
         self._lock = threading.Lock()
-        self._ends: Counter[tuple[str, str, Ending]] = Counter()
+        self._exchanges: Counter[tuple[str, str, Ending]] = Counter()
         self._sends: Counter[str] = Counter()
         self._late_pauses: Counter[str] = Counter()
-        self._repeats: Counter[tuple[PoolId, bool]] = Counter()
-        self._first: dict[str, _Latencies] = {}
-        self._whole: dict[str, _Latencies] = {}
+        self._retries: Counter[tuple[PoolId, bool]] = Counter()
+        self._first_response_times: dict[str, _LatencyHistogram] = {}
+        self._exchange_times: dict[str, _LatencyHistogram] = {}
 
     def record(self, end: ExchangeEnd) -> None:
-        """Count one exchange."""
+        """Record a finished exchange."""
         with self._lock:
-            self._ends[end.route, end.team, end.ending] += 1
+            self._exchanges[end.route, end.team, end.ending] += 1
             self._sends[end.route] += end.sends
             self._late_pauses[end.route] += end.late_pauses
-            self._whole.setdefault(end.route, _Latencies()).add(end.whole)
+            self._exchange_times.setdefault(end.route, _LatencyHistogram()).add(
+                end.whole
+            )
             if end.first_answer is not None:
-                self._first.setdefault(end.route, _Latencies()).add(end.first_answer)
+                self._first_response_times.setdefault(
+                    end.route, _LatencyHistogram()
+                ).add(end.first_answer)
 
-    def record_repeat(self, service: PoolId, repeat: RepeatDecision) -> None:
-        """Count a further send that was asked for."""
+    def record_retry(self, service: PoolId, retry: RepeatDecision) -> None:
+        """Count a retry decision, allowed or not."""
         with self._lock:
-            self._repeats[service, repeat.is_allowed] += 1
+            self._retries[service, retry.is_allowed] += 1
 
     def expose(self) -> bytes:
-        """Return everything in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
         from prometheus_client.registry import Collector
 
         collect = self.collect
 
-        class _Once(Collector):
+        class _MetricsCollector(Collector):
             def collect(self) -> Iterator[Metric]:
                 return collect()
 
         registry = CollectorRegistry(auto_describe=False)
-        registry.register(_Once())
+        registry.register(_MetricsCollector())
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
@@ -139,7 +143,7 @@
             "Exchanges by how they ended for their callers.",
             labels=("route", "team", "ending"),
         )
-        for (route, team, ending), count in self._ends.items():
+        for (route, team, ending), count in self._exchanges.items():
             ends.add_metric((route, team, ending.name.lower()), count)
         sends = CounterMetricFamily(
             "rudderpass_sends",
@@ -155,13 +159,13 @@
         )
         for route, count in self._late_pauses.items():
             late_pauses.add_metric((route,), count)
-        repeats = CounterMetricFamily(
+        retries = CounterMetricFamily(
             "rudderpass_repeats",
             "Further sends asked of the shared budget, allowed or not.",
             labels=("service", "allowed"),
         )
-        for (service, is_allowed), count in self._repeats.items():
-            repeats.add_metric((service, str(is_allowed).lower()), count)
+        for (service, is_allowed), count in self._retries.items():
+            retries.add_metric((service, str(is_allowed).lower()), count)
         unusable = CounterMetricFamily(
             "rudderpass_unusable_records",
             "Records in the platform's store that could not be used.",
@@ -172,24 +176,26 @@
         yield ends
         yield sends
         yield late_pauses
-        yield repeats
+        yield retries
         yield unusable
 
     def _histograms(self) -> Iterator[Metric]:
         from prometheus_client.core import HistogramMetricFamily
 
-        named = (
+        histograms = (
             (
                 "rudderpass_first_answer_seconds",
                 "Time to the first event.",
-                self._first,
+                self._first_response_times,
             ),
-            ("rudderpass_exchange_seconds", "Time to the end.", self._whole),
+            ("rudderpass_exchange_seconds", "Time to the end.", self._exchange_times),
         )
-        for name, text, by_route in named:
+        for name, text, by_route in histograms:
             family = HistogramMetricFamily(name, text, labels=("route",))
             for route, latencies in by_route.items():
-                family.add_metric((route,), latencies.cumulated(), latencies.total)
+                family.add_metric(
+                    (route,), latencies.cumulative_buckets(), latencies.total
+                )
             yield family
 
     def _gauge_families(self) -> Iterator[Metric]:
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -1,4 +1,4 @@
-"""What a host tells its peers, takes from them, and whether it follows the store."""
+"""Gossip of a host over sockets, and the decision whether it follows the store."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
     Mesh,
 )
 from rudderpass.host._duties import HostDuties
-from rudderpass.host._gossip_protocol import Telling
+from rudderpass.host._gossip_protocol import GossipProtocol
 
-BEAT_SECONDS = 0.5
-"""Between beats. The shorter, the less hosts send the same prompt, or a whole burst, to
-an upstream that looked idle; but each beat goes to each peer, and bytes between zones
-have a price."""
+HEARTBEAT_SECONDS = 0.5
+"""Interval between heartbeats. A shorter one makes it rarer that several hosts send the
+same prompt, or a whole burst, to an upstream that looked idle. But each heartbeat goes
+to each peer, and traffic between zones is charged."""
 
-RELAYED_BEAT_SECONDS = 0.25
-"""The same where relays tell of all hosts: news pass two of them, and must not take
-longer than where each host tells each."""
+RELAYED_HEARTBEAT_SECONDS = 0.25
+"""Interval with relays. A report passes through two relays, and must not take longer
+than where each host sends to each."""
 
-GATHERING_SECONDS = 0.02
-"""From urgent news to the beat that tells it: all streams that a crash cuts end within
-milliseconds, and one beat tells of them all."""
+URGENT_BATCH_SECONDS = 0.02
+"""Delay from an urgent event to its heartbeat. All streams cut by one crash end within
+milliseconds, so that one heartbeat reports them all."""
 
 FETCH_SPREAD_SECONDS = 1.0
-"""Within so long the hosts of a large deployment fetch news, each at a time of its own:
-all together would hold up the beats of those that they ask. News must be in force
-within 2 to 3 s."""
+"""Period over which the hosts of a large deployment spread their fetches of an update.
+Fetching all at once would delay the heartbeats of the hosts asked. Updates must take
+effect within 2 to 3 s."""
 
 
-class PeerTalk:
-    """One host's part in what hosts tell one another.
+class PeerGossip:
+    """Exchanges heartbeats and state with a host's peers.
 
     :param address: ``ip:port`` at which peers reach this host.
     :param zone: the host's availability zone.
-    :param link_mbps: what its link carries, Mbit/s.
+    :param link_mbps: bandwidth of its link, Mbit/s.
     :param seeds: addresses of some peers; they may be stale.
-    :param on_learned: told what changed by a peer's word.
-    :param on_confirmed: told when a peer that hears the store knows no more than this
-        host.
+    :param on_learned: called with the changes fetched from a peer.
+    :param on_confirmed: called when a peer that follows the store knows no more than
+        this host.
 
     .. versionadded:: 0.2
     """
@@ -64,194 +64,197 @@
         link_mbps: int,
         seeds: Iterable[str],
         core: ExchangeCore,
-        guard: threading.RLock,
+        lock: threading.RLock,
         on_learned: Callable[[list[Learned]], None],
         on_confirmed: Callable[[float], None],
     ) -> None:
         self._duties: HostDuties | None = None
         self._core = core
         self._directory = core.directory
-        self._guard = guard
+        self._lock = lock
         self._on_learned = on_learned
         self._on_confirmed = on_confirmed
         self._follower: StoreFollower | None = None
         self._is_large = False
         self._is_relayed = False
-        self._next_beat = 0.0
+        self._next_heartbeat_at = 0.0
         self._fetch_at: float | None = None
         self._wake = threading.Event()
         self._closing = threading.Event()
         self._transport = GossipTransport(
             address,
-            self._take_beat,
-            self._note_error,
+            self._receive_heartbeat,
+            self._record_error,
             self._read_state,
             self._read_prompts,
         )
         own = self._transport.address
         self._rng = random.Random(own)
-        self._mesh = Mesh(own, self._rng)
-        self._mesh.add(NodeId(seed) for seed in seeds)
-        self._rule = FollowRule(own, self._mesh, _clock.now())
-        self._telling = Telling(
+        self._peer_table = Mesh(own, self._rng)
+        self._peer_table.add(NodeId(seed) for seed in seeds)
+        self._follow_rule = FollowRule(own, self._peer_table, _clock.now())
+        self._protocol = GossipProtocol(
             own,
             zone,
             link_mbps,
             core,
-            self._mesh,
+            self._peer_table,
             lambda now: self._follower is not None and self._follower.is_current(now),
             lambda: None if self._duties is None else self._duties.news,
         )
 
     @property
     def address(self) -> NodeId:
-        """Where peers reach this host."""
+        """Address at which peers reach this host."""
         return self._transport.address
 
     @property
-    def mesh(self) -> Mesh:
-        """This host's view of its peers; to be read under the guard."""
-        return self._mesh
+    def peer_table(self) -> Mesh:
+        """This host's view of its peers; read it with the lock held."""
+        return self._peer_table
 
     @property
     def is_relay(self) -> bool:
-        """Whether this host tells others what all hosts do."""
-        return self._telling.is_relay
+        """Whether this host is a relay for others."""
+        return self._protocol.is_relay
 
     @property
     def transport(self) -> GossipTransport:
-        """The sockets towards peers."""
+        """The sockets for peers."""
         return self._transport
 
     def start(self, follower: StoreFollower, duties: HostDuties | None) -> None:
-        """Begin to hear peers.
+        """Start to receive from peers.
 
-        :param follower: follows the store when too few of the others do.
-        :param duties: this host's part in the duties, where there are any.
+        :param follower: follows the store when too few other hosts do.
+        :param duties: None if there are no duties.
         """
         self._follower = follower
         self._duties = duties
         self._transport.start()
         self._greet_silent(_clock.now())
 
-    def meet(self, peers: Iterable[NodeId]) -> None:
-        """Greet peers that may exist, as the store lists them.
+    def add_peers(self, peers: Iterable[NodeId]) -> None:
+        """Add the peers listed in the store, and greet those not heard yet.
 
-        :param peers: none where the store does not answer.
+        :param peers: empty if the store does not answer.
         """
         now = _clock.now()
-        with self._guard:
-            self._mesh.add(peers)
-            self._rule.note_acquainted()
+        with self._lock:
+            self._peer_table.add(peers)
+            self._follow_rule.note_acquainted()
         self._greet_silent(now)
-        self._choose_followers(now)
+        self._update_following(now)
 
     def close(self) -> None:
-        """Stop hearing peers."""
+        """Stop receiving from peers."""
         self._closing.set()
         self._wake.set()
         self._transport.close()
 
     def wait(self, seconds: float) -> None:
-        """Wait until there is something to do, ``seconds`` at most."""
+        """Wait until work is due, for ``seconds`` at most."""
         if not self._wake.wait(seconds):
             return
         self._wake.clear()
-        until_beat = self._next_beat - _clock.now()
-        if 0.0 < until_beat <= GATHERING_SECONDS:
-            self._closing.wait(until_beat)
-
-    def tell_soon(self) -> None:
-        """Let the next beat go out almost at once; what it tells cannot wait."""
-        self._next_beat = min(self._next_beat, _clock.now() + GATHERING_SECONDS)
+        until_heartbeat = self._next_heartbeat_at - _clock.now()
+        if 0.0 < until_heartbeat <= URGENT_BATCH_SECONDS:
+            self._closing.wait(until_heartbeat)
+
+    def send_soon(self) -> None:
+        """Send the next heartbeat almost at once, since its content is urgent."""
+        self._next_heartbeat_at = min(
+            self._next_heartbeat_at, _clock.now() + URGENT_BATCH_SECONDS
+        )
         self._wake.set()
 
-    def survey(self, now: float) -> Surroundings:
-        """Return what the duties' holder must know; to be called under the guard."""
-        hears = self._follower is not None and self._follower.has_heard(
+    def read_surroundings(self, now: float) -> Surroundings:
+        """Return the host's view for the duties; call with the lock held."""
+        has_heard = self._follower is not None and self._follower.has_heard(
             now, CANDIDATE_SECONDS
         )
-        is_candidate = hears and not self._core.is_stopping
+        is_candidate = has_heard and not self._core.is_stopping
         return Surroundings(
-            (self.address, *self._mesh.live(now)),
-            self._mesh.last_heard,
-            self._rule.count_candidates_before(now) if is_candidate else None,
+            (self.address, *self._peer_table.live(now)),
+            self._peer_table.last_heard,
+            self._follow_rule.count_candidates_before(now) if is_candidate else None,
         )
 
-    def do_due(self, now: float) -> None:
-        """Tell peers, choose whether to follow the store, and fetch what is missed."""
-        self._tell_usage(now)
-        if now >= self._next_beat:
-            # A little early, since waits end late.
-            pause = RELAYED_BEAT_SECONDS if self._is_relayed else BEAT_SECONDS
-            self._next_beat = now + pause * 3 / 4
-            self.tell_peers(now)
-            with self._guard:
-                self._telling.forget_old(now)
-        self._choose_followers(now)
+    def run_due(self, now: float) -> None:
+        """Send due heartbeats, update following, and fetch missing state."""
+        self._send_usage(now)
+        if now >= self._next_heartbeat_at:
+            # Scheduled early, since waits overrun.
+            pause = RELAYED_HEARTBEAT_SECONDS if self._is_relayed else HEARTBEAT_SECONDS
+            self._next_heartbeat_at = now + pause * 3 / 4
+            self.send_heartbeats(now)
+            with self._lock:
+                self._protocol.remove_expired(now)
+        self._update_following(now)
         self._catch_up(now)
 
-    def tell_peers(self, now: float, has_store_news: bool = False) -> None:
-        """Send the beats that are due.
+    def send_heartbeats(self, now: float, has_store_update: bool = False) -> None:
+        """Send the heartbeats that are due.
 
-        :param has_store_news: whether all peers are to be told, not only relays.
+        :param has_store_update: whether to send to all peers, not only to relays.
         """
-        with self._guard:
+        with self._lock:
             was_relay = self.is_relay
-            messages = self._telling.compose(now, self._is_relayed, has_store_news)
+            messages = self._protocol.compose(now, self._is_relayed, has_store_update)
         if self.is_relay is not was_relay:
             word = "relays" if self.is_relay else "no longer relays"
             log("peer", f"{word} for its zone.", relay=self.is_relay)
         for message in messages:
-            self._send_beat(message.beat, message.targets)
+            self._send_heartbeat(message.heartbeat, message.targets)
 
-    def tell_store_news(self, is_first: bool, now: float) -> None:
-        """Tell those who rely on this host at once what it heard from the store.
+    def send_store_update(self, is_first: bool, now: float) -> None:
+        """Announce an update from the store at once to the hosts that depend on it.
 
-        :param is_first: whether this host knew nothing before; then others may not
-            know anything either, as after an outage of the store.
+        :param is_first: whether this host had no state before; then others may have
+            none either, as after an outage of the store.
         """
         if self._is_large or is_first:
-            self.tell_peers(now, has_store_news=True)
+            self.send_heartbeats(now, has_store_update=True)
 
     def greet_all(self, now: float) -> None:
-        """Tell all peers that this host is there; those that missed it answer."""
-        with self._guard:
-            beat = self._telling.greet(now, self._is_relayed)
-            targets = self._mesh.known
-        self._send_beat(beat, targets)
-
-    def _tell_usage(self, now: float) -> None:
-        """Tell those who may report this host's usage what it has counted."""
+        """Greet all peers; those that do not count this host as live answer."""
+        with self._lock:
+            heartbeat = self._protocol.make_greeting(now, self._is_relayed)
+            targets = self._peer_table.known
+        self._send_heartbeat(heartbeat, targets)
+
+    def _send_usage(self, now: float) -> None:
+        """Send the usage counts, if due, to the hosts that may report them."""
         if self._duties is None:
             return
-        with self._guard:
-            usage = self._duties.find_telling(now)
+        with self._lock:
+            usage = self._duties.find_due_usage(now)
             if usage is None:
                 return
-            beat = self._telling.tell_usage(usage, now)
-            targets = self._mesh.gatherers(now)
-        self._send_beat(beat, targets)
+            heartbeat = self._protocol.make_usage_heartbeat(usage, now)
+            targets = self._peer_table.gatherers(now)
+        self._send_heartbeat(heartbeat, targets)
 
     @property
     def _is_following(self) -> bool:
         return self._follower is not None and self._follower.is_active
 
     @property
-    def _hears_for_itself(self) -> bool:
-        """Whether the store will soon tell this host what its peers know.
+    def _receives_store_updates(self) -> bool:
+        """Whether the store will soon send this host what its peers know.
 
-        A host that knows nothing may be waiting out a pause after failed calls.
+        A host without complete state does not count, since it may be in a backoff
+        after failed calls.
         """
         return self._is_following and self._directory.is_complete
 
-    def _choose_followers(self, now: float) -> None:
-        """Follow the store, or rest while enough other hosts do."""
-        with self._guard:
+    def _update_following(self, now: float) -> None:
+        """Follow the store unless enough other hosts do."""
+        with self._lock:
             holds_duties = self._duties is not None and self._duties.holds
-            follows = self._rule.should_follow(now) or holds_duties
-            self._is_large = self._rule.is_large(now)
-            self._is_relayed = self._rule.count_hosts(now) >= RELAY_FROM
+            follows = self._follow_rule.should_follow(now) or holds_duties
+            self._is_large = self._follow_rule.is_large(now)
+            self._is_relayed = self._follow_rule.count_hosts(now) >= RELAY_FROM
         if self._follower is None:
             return
         if follows is not self._follower.is_active:
@@ -260,65 +263,67 @@
         self._follower.set_active(follows, self._is_large)
 
     def _greet_silent(self, now: float) -> None:
-        """Tell peers that have not been heard; a live one answers at once."""
-        with self._guard:
-            beat = self._telling.greet(now, self._is_relayed)
-            targets = self._mesh.silent(now)
-        self._send_beat(beat, targets)
+        """Greet peers that have not been heard; a live one answers at once."""
+        with self._lock:
+            heartbeat = self._protocol.make_greeting(now, self._is_relayed)
+            targets = self._peer_table.silent(now)
+        self._send_heartbeat(heartbeat, targets)
 
-    def _send_beat(self, beat: Beat, targets: list[NodeId]) -> None:
+    def _send_heartbeat(self, heartbeat: Beat, targets: list[NodeId]) -> None:
         try:
-            self._transport.tell(beat, targets)
+            self._transport.tell(heartbeat, targets)
         except PeerError as error:
-            self._note_error(error)
+            self._record_error(error)
 
     def _catch_up(self, now: float) -> None:
-        """Fetch a peer's state when this host has been behind it for a while."""
+        """Fetch the state of a peer that has been ahead of this host for a while."""
         if self._fetch_at is not None and now < self._fetch_at:
             return
         self._fetch_at = None
-        with self._guard:
+        with self._lock:
             offsets = self._directory.config_offset, self._directory.upstreams_end
-            hears = self._hears_for_itself and not self._core.is_doubting
-            peer = self._mesh.ahead(*offsets, hears, now)
+            follows = self._receives_store_updates and not self._core.is_doubting
+            peer = self._peer_table.ahead(*offsets, follows, now)
         if peer is None:
             return
         try:
             state = self._transport.fetch(peer, *offsets)
         except PeerError as error:
-            self._note_error(error)
+            self._record_error(error)
             return
-        with self._guard:
+        with self._lock:
             source = f"peer {peer}"
             learned = self._directory.take_state(state, source, _clock.now())
         self._on_learned(learned)
 
-    def _take_beat(self, beat: Beat) -> None:
+    def _receive_heartbeat(self, heartbeat: Beat) -> None:
         now = _clock.now()
-        with self._guard:
-            is_news = self._telling.take(beat, now)
+        with self._lock:
+            is_new = self._protocol.receive(heartbeat, now)
             if self._duties is not None:
-                self._duties.take(beat, now)
-            greeting = self._telling.greet(now, self._is_relayed) if is_news else None
-            if beat.following:
+                self._duties.receive(heartbeat, now)
+            greeting = (
+                self._protocol.make_greeting(now, self._is_relayed) if is_new else None
+            )
+            if heartbeat.following:
                 heard = now - CURRENT_SECONDS
-                self._directory.note_list_confirmed(beat.upstreams_end, heard)
+                self._directory.note_list_confirmed(heartbeat.upstreams_end, heard)
             is_behind = (
-                beat.config_offset > self._directory.config_offset
-                or beat.upstreams_end > self._directory.upstreams_end
+                heartbeat.config_offset > self._directory.config_offset
+                or heartbeat.upstreams_end > self._directory.upstreams_end
             )
             is_urgent = not (self._directory.is_complete and self._is_large)
-        if is_behind and (not self._hears_for_itself or self._core.is_doubting):
-            self._plan_fetch(is_urgent or self._core.is_doubting, now)
-        if beat.following and not is_behind:
+        if is_behind and (not self._receives_store_updates or self._core.is_doubting):
+            self._schedule_fetch(is_urgent or self._core.is_doubting, now)
+        if heartbeat.following and not is_behind:
             self._on_confirmed(now)
         if greeting is not None:
-            # A starting host waits for this to learn whom it may ask.
-            self._send_beat(greeting, [beat.sender])
-            log("peer", f"{beat.sender} is heard.", peer=beat.sender)
+            # A starting host waits for this answer to learn which peers it can ask.
+            self._send_heartbeat(greeting, [heartbeat.sender])
+            log("peer", f"{heartbeat.sender} is now live.", peer=heartbeat.sender)
 
-    def _plan_fetch(self, is_urgent: bool, now: float) -> None:
-        """Fetch what a peer knows: at once, or when this host's time comes."""
+    def _schedule_fetch(self, is_urgent: bool, now: float) -> None:
+        """Schedule a fetch: at once if urgent, else at a random time."""
         if is_urgent:
             self._fetch_at = None
             self._wake.set()
@@ -326,13 +331,13 @@
             self._fetch_at = now + self._rng.uniform(0.0, FETCH_SPREAD_SECONDS)
 
     def _read_state(self, config_offset: int, upstreams_end: int) -> DirectoryState:
-        with self._guard:
+        with self._lock:
             now = _clock.now()
             return self._directory.state_since(config_offset, upstreams_end, now)
 
     def _read_prompts(self) -> tuple[SentPrompt, ...]:
-        with self._guard:
+        with self._lock:
             return self._core.caches.known()
 
-    def _note_error(self, error: PeerError) -> None:
+    def _record_error(self, error: PeerError) -> None:
         log("peer", error.show(), peer=error.peer, step=error.step)
--- a/src/rudderpass/host/_quarantine.py
+++ b/src/rudderpass/host/_quarantine.py
@@ -1,4 +1,4 @@
-"""The quarantine of a host as its operators and its store see it."""
+"""Connects a host's quarantine to its operators, its log and the store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class QuarantineControl:
     """Logs, archives, lists and lifts the quarantines of a host.
 
-    :param tell_soon: has peers told at once.
+    :param send_soon: sends the next heartbeat to peers at once.
     :param stopping: set when the host stops.
 
     .. versionadded:: 0.2
@@ -24,61 +24,61 @@
 
     def __init__(
         self,
-        book: QuarantineBook,
-        guard: threading.RLock,
+        tracker: QuarantineBook,
+        lock: threading.RLock,
         registry: HostRegistry,
-        tell_soon: Callable[[], None],
+        send_soon: Callable[[], None],
         stopping: threading.Event,
     ) -> None:
-        self._book = book
-        self._guard = guard
-        self._tell_soon = tell_soon
+        self._tracker = tracker
+        self._lock = lock
+        self._send_soon = send_soon
         self._archive = QuarantineArchive(registry, self._describe, stopping)
 
     def run_archive(self) -> None:
-        """Write changes to the store until the host stops."""
+        """Write changed quarantines to the store until the host stops."""
         self._archive.run()
 
     def tick(self, now: float) -> None:
-        """Note which requests came into quarantine or left it."""
-        with self._guard:
-            changes = self._book.tick(now)
+        """Log and archive which requests were quarantined or released."""
+        with self._lock:
+            changes = self._tracker.tick(now)
         for change in changes:
-            self._note_change(change)
+            self._record_change(change)
 
     def list_quarantined(self) -> list[QuarantinedRequest]:
         """Return the requests that must not be sent now."""
         now = _clock.now()
-        with self._guard:
+        with self._lock:
             return [
                 QuarantinedRequest(
-                    news.fingerprint.hex(),
-                    news.team,
-                    tuple(sorted(crash.upstream for crash in news.crashes)),
-                    round(self._book.judge(news.fingerprint, now).seconds, 1),
+                    suspect.fingerprint.hex(),
+                    suspect.team,
+                    tuple(sorted(crash.upstream for crash in suspect.crashes)),
+                    round(self._tracker.judge(suspect.fingerprint, now).seconds, 1),
                 )
-                for news in self._book.describe_quarantined(now)
+                for suspect in self._tracker.describe_quarantined(now)
             ]
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
-        """Release a request, here and at all peers; tell whether it was suspect."""
-        with self._guard:
-            is_lifted = self._book.lift(fingerprint, _clock.now())
+        """Release a request on all hosts; return whether any crash was known."""
+        with self._lock:
+            is_lifted = self._tracker.lift(fingerprint, _clock.now())
         if not is_lifted:
             return False
         name = fingerprint.hex()
         log("quarantine", f"{name} lifted by an operator.", fingerprint=name)
-        self._tell_soon()
-        self._archive.note_change()
+        self._send_soon()
+        self._archive.schedule_write()
         return True
 
     def _describe(self) -> tuple[SuspectNews, ...]:
-        with self._guard:
-            return self._book.describe_quarantined(_clock.now())
+        with self._lock:
+            return self._tracker.describe_quarantined(_clock.now())
 
-    def _note_change(self, change: QuarantineChange) -> None:
+    def _record_change(self, change: QuarantineChange) -> None:
         if change.is_own:
-            self._archive.note_change()
+            self._archive.schedule_write()
         word = "quarantined" if change.is_quarantined else "released"
         log(
             "quarantine",
--- a/src/rudderpass/host/_registry.py
+++ b/src/rudderpass/host/_registry.py
@@ -1,7 +1,7 @@
-"""What hosts keep of themselves in the platform's store: addresses and quarantines.
+"""Records of hosts in the platform's store: their addresses and quarantines.
 
-Peers are the first source of both. The store is there for the moment at which no peer
-is left that knows anything.
+Hosts normally learn both from their peers. The store is for the case that no peer is
+left that knows them.
 """
 
 from __future__ import annotations
@@ -20,36 +20,36 @@
 from rudderpass.quarantine import SuspectNews
 
 REGISTER_PAUSE_SECONDS = 1.0
-"""Between attempts to announce this host; peers also learn of it from its beats."""
+"""Between attempts to register this host; peers also learn of it from heartbeats."""
 
 ARCHIVE_PAUSE_SECONDS = 1.0
-"""Between two writes of a host's quarantines, also failed ones."""
+"""Minimum time between two writes of a host's quarantines, failed ones included."""
 
 
 class HostStore(KeyedLog, Protocol):
-    """The store as a host uses it."""
+    """The operations of the platform's store that a host uses."""
 
     @property
     def calls(self) -> int:
-        """Calls made so far."""
+        """Number of calls made so far."""
 
     def append(self, topic: str, key: str, value: bytes) -> None:
-        """Write the newest record of a key.
+        """Append a record, which becomes the newest of its key.
 
         :raises PlatformError: when it may not have been written.
         """
 
 
 @dataclass(frozen=True)
-class Registered:
-    """All that the hosts keep in the store."""
+class RegistryContents:
+    """All records of hosts in the store."""
 
     hosts: Collection[NodeId]
     quarantined: tuple[SuspectNews, ...]
 
 
 class HostRegistry:
-    """The hosts' topic, as one host sees it.
+    """Reads the hosts' topic, and writes this host's record to it.
 
     :param own: this host's address, the key of its record.
     """
@@ -62,8 +62,8 @@
         self._own = own
         self._zone = zone
 
-    def is_among(self, registered: Registered) -> bool:
-        """Tell whether this host is listed."""
+    def is_listed_in(self, registered: RegistryContents) -> bool:
+        """Return whether this host is listed."""
         return self._own in registered.hosts
 
     def write(self, quarantined: Collection[SuspectNews] = ()) -> None:
@@ -74,8 +74,8 @@
         value = encode_host_record(self._zone, quarantined, time.time())
         self._store.append(self._topic, self._own, value)
 
-    def read(self) -> Registered:
-        """Return what all hosts keep.
+    def read(self) -> RegistryContents:
+        """Return the records of all hosts.
 
         :raises PlatformError: when the store does not answer.
         """
@@ -86,14 +86,15 @@
                 quarantined += decode_quarantined(record.value or b"", time.time())
             except PeerError as error:
                 log("host", f"a record cannot be read, {error.show()}.")
-        return Registered({NodeId(r.key) for r in records}, tuple(quarantined))
+        return RegistryContents({NodeId(r.key) for r in records}, tuple(quarantined))
 
 
 class Registration:
-    """Announces a host in the store, once, in a thread of its own.
+    """Registers a host in the store, once, in a thread of its own.
 
     :param is_first_start: whether the whole deployment starts for the first time.
-    :param on_answer: told what the hosts keep, or None where the store does not answer.
+    :param on_read: called with the hosts' records, or None if the store does not
+        answer.
     :param stopping: set when the host stops.
     """
 
@@ -101,38 +102,39 @@
         self,
         registry: HostRegistry,
         is_first_start: bool,
-        on_answer: Callable[[Registered | None], None],
+        on_read: Callable[[RegistryContents | None], None],
         stopping: threading.Event,
     ) -> None:
         self._registry = registry
         self._is_first_start = is_first_start
-        self._on_answer = on_answer
+        self._on_read = on_read
         self._stopping = stopping
 
     def run(self) -> None:
-        """Try until the store has answered or the host stops."""
+        """Retry until the store has answered or the host stops."""
         while not self._stopping.is_set():
             try:
-                self._announce()
+                self._register()
                 return
             except PlatformError as error:
-                self._on_answer(None)
-                log("host", "not announced yet.", error=error.show())
+                self._on_read(None)
+                log("host", "not registered yet; will retry.", error=error.show())
                 self._stopping.wait(REGISTER_PAUSE_SECONDS)
 
-    def _announce(self) -> None:
-        """Learn of all hosts that the store lists, and be listed.
+    def _register(self) -> None:
+        """Read the list of hosts, and add this host to it.
 
-        When all hosts start for the first time, each is listed before it reads the
-        list, so that of any two one finds the other. Later one call less will do.
+        When the whole deployment starts for the first time, each host writes its record
+        before it reads the list, so that of any two hosts at least one finds the other.
+        On later starts a host that is listed already saves the write.
 
         :raises PlatformError: when the store does not answer.
         """
         if self._is_first_start:
             self._registry.write()
         registered = self._registry.read()
-        self._on_answer(registered)
-        if not self._registry.is_among(registered):
+        self._on_read(registered)
+        if not self._registry.is_listed_in(registered):
             self._registry.write()
 
 
@@ -154,12 +156,12 @@
         self._stopping = stopping
         self._due = threading.Event()
 
-    def note_change(self) -> None:
-        """Have the quarantines written soon."""
+    def schedule_write(self) -> None:
+        """Schedule a write of the quarantines."""
         self._due.set()
 
     def run(self) -> None:
-        """Write whatever is due until the host stops."""
+        """Write scheduled changes until the host stops."""
         while not self._stopping.is_set():
             if not self._due.wait(ARCHIVE_PAUSE_SECONDS):
                 continue
@@ -167,6 +169,6 @@
             try:
                 self._registry.write(self._describe())
             except PlatformError as error:
-                log("quarantine", "not archived yet.", error=error.show())
+                log("quarantine", "not archived yet; will retry.", error=error.show())
                 self._due.set()
             self._stopping.wait(ARCHIVE_PAUSE_SECONDS)
--- a/src/rudderpass/host/_settings.py
+++ b/src/rudderpass/host/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host that serves exchanges, whatever file they come from."""
+"""Settings of a host, independent of the format of the settings file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OrderMode(Enum):
-    """Whether a host that holds the duties orders upstreams."""
+    """Whether the holder of the duties orders upstreams."""
 
     ON = "on"
     DRY_RUN = "dry-run"
@@ -20,17 +20,17 @@
 
 @dataclass(frozen=True)
 class DutySettings:
-    """The duties that one host at a time has. Times are seconds.
+    """Settings of the duties, which one host at a time holds. Times are seconds.
 
-    :param platform: ``ip:port`` of the platform's API that takes the calls.
+    :param platform: ``ip:port`` of the platform's API.
     :param reports_usage: whether usage is reported.
     :param orders_upstreams: whether upstreams are ordered.
-    :param holding: how the duties change hands.
-    :param order_mode: whether the operators want orders to be made.
-    :param most_upstreams: in each availability zone, the operators' own bound; None
-        where the configuration's is enough.
+    :param holding: lease and fencing of the duties.
     :param window: length of a usage report's window.
-    :param late: after the end of a window until its report is due.
+    :param report_delay: from the end of a window until its report is due.
+    :param order_mode: whether operators allow orders.
+    :param most_upstreams: the operators' maximum per availability zone; None to use
+        only the configuration's.
     """
 
     platform: str
@@ -38,34 +38,35 @@
     orders_upstreams: bool
     holding: HoldingRule
     window: float = 5.0
-    late: float = 10.0
+    report_delay: float = 10.0
     order_mode: OrderMode = OrderMode.ON
     most_upstreams: int | None = None
 
 
 @dataclass(frozen=True)
 class HostSettings:
-    """All that a host is told. Times are seconds.
+    """Settings of a host. Times are seconds.
 
-    :param name: the host's name, for people.
-    :param front: ``ip:port`` for callers.
-    :param ready: ``ip:port`` for the balancer's question whether the host is ready.
+    :param name: the host's name, for logs and for the platform.
+    :param listen: ``ip:port`` for callers.
+    :param ready: ``ip:port`` of the load balancer's readiness check.
     :param peer: ``ip:port`` for other hosts; also this host's id among them.
-    :param link_mbps: what the host's link carries, Mbit/s; hosts with faster ones are
-        more likely to relay for others.
     :param metrics: ``ip:port`` of the metrics.
     :param store: ``ip:port`` of the platform's store.
+    :param link_mbps: bandwidth of the host's link, Mbit/s; hosts with faster links are
+        more likely to become relays.
     :param seeds: peer addresses of some hosts; they may be stale or down.
     :param is_first_start: whether the whole deployment starts for the first time.
-    :param stop_grace: after a request to stop the process is killed this much later.
-    :param drain_bound: for which an upstream that is leaving may get new work.
-    :param reread_window: within which reading a part of a prompt again has a price.
-    :param duties: None where there are none.
+    :param stop_grace: from the request to stop until the process is killed.
+    :param drain_bound: how long a leaving upstream may still get new requests.
+    :param reread_window: period in which a repeated prefill of a prompt part has a
+        price.
+    :param duties: None if the deployment has none.
     """
 
     name: str
     zone: AvailabilityZone
-    front: str
+    listen: str
     ready: str
     peer: str
     metrics: str
--- a/src/rudderpass/host/_suspension.py
+++ b/src/rudderpass/host/_suspension.py
@@ -1,4 +1,8 @@
-"""A host whose machine was suspended hears everything anew before it serves by it."""
+"""Refreshes the state of a host after a suspension of its machine.
+
+What the host knew may be stale by then, so it must not serve requests by it before it
+has been confirmed by the store or by a peer.
+"""
 
 from __future__ import annotations
 
@@ -12,58 +16,60 @@
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore
 
-SLEPT_SECONDS = 0.5
-"""A shorter suspension is no worse than a late datagram."""
+MIN_SUSPENSION_SECONDS = 0.5
+"""A shorter suspension has no more effect than a late datagram."""
 
-SETTLING_SECONDS = 0.05
-"""Beats that arrive so soon after the sleep may have come before it, and have waited in
-the socket's queue."""
+STALE_DATAGRAM_SECONDS = 0.05
+"""Heartbeats read this soon after a suspension may be older than it: they may have
+waited in the socket's queue."""
 
-ANSWER_SECONDS = 0.3
-"""How long peers have to answer a greeting. Right after a suspension no peer counts as
-live, so whether any can tell is known only then."""
+PEER_ANSWER_SECONDS = 0.3
+"""Time for peers to answer a greeting. Right after a suspension no peer counts as live,
+so only after this time is it known whether any peer has current state."""
 
-GIVE_UP_SECONDS = 3.0
-"""After so long without news the host serves by what it knew: it is cut off, and that
-must not end its service."""
+REFRESH_TIMEOUT_SECONDS = 3.0
+"""Time without confirmation after which the host serves by its old state again: it is
+cut off from store and peers, which must not end its service."""
 
 
-class SleepWatch:
-    """Notices that the machine was suspended. Thread-safe."""
+class SuspensionDetector:
+    """Detects suspensions of the machine. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._counted = _clock.read_suspended()
+        self._last_suspended = _clock.read_suspended()
 
-    def take_slept(self) -> float:
-        """Return for how many seconds the machine slept since the last call, if so."""
+    def take_suspended_seconds(self) -> float:
+        """Return seconds suspended since the last call; 0 below the minimum."""
         suspended = _clock.read_suspended()
-        if suspended - self._counted < SLEPT_SECONDS:
+        if suspended - self._last_suspended < MIN_SUSPENSION_SECONDS:
             return 0.0
         with self._lock:
-            slept = suspended - self._counted
-            self._counted = suspended
-        return slept
+            suspended_for = suspended - self._last_suspended
+            self._last_suspended = suspended
+        return suspended_for
 
 
 @dataclass(frozen=True)
-class NewsSources:
-    """Whom a host can ask.
+class RefreshSources:
+    """Sources of current state.
 
-    :param read_store: reads what is new in the store; raises PlatformError.
-    :param greet_peers: tells all peers that this host is there; they answer.
-    :param can_peers_tell: whether any live peer knows more than nothing.
+    :param read_store: reads updates from the store; raises PlatformError.
+    :param greet_peers: sends a heartbeat to all peers; those that do not count this
+        host as live answer.
+    :param has_informed_peer: returns whether any live peer has a configuration.
     """
 
     read_store: Callable[[], None]
     greet_peers: Callable[[float], None]
-    can_peers_tell: Callable[[float], bool]
+    has_informed_peer: Callable[[float], bool]
 
 
-class Waking:
-    """Doubts a host's beliefs from a suspension on until it has heard them anew.
+class SuspensionRecovery:
+    """Marks a host's state as stale after a suspension until it is confirmed.
 
-    :param settled: cleared while the host doubts, so that requests wait a moment.
+    :param initialized: cleared while the state is stale, so that requests wait
+        briefly.
 
     .. versionadded:: 0.2
     """
@@ -71,62 +77,70 @@
     def __init__(
         self,
         core: ExchangeCore,
-        guard: threading.RLock,
-        settled: threading.Event,
-        sources: NewsSources,
+        lock: threading.RLock,
+        initialized: threading.Event,
+        sources: RefreshSources,
     ) -> None:
         self._core = core
-        self._guard = guard
-        self._settled = settled
+        self._lock = lock
+        self._initialized = initialized
         self._sources = sources
-        self._watch = SleepWatch()
-        self._woke = 0.0
+        self._detector = SuspensionDetector()
+        self._resumed_at = 0.0
 
-    def look(self) -> None:
-        """Notice a suspension; to be called before anything is decided.
+    def check(self) -> None:
+        """Detect a suspension; call before each decision.
 
-        Costs two readings of clocks.
+        It costs two clock readings.
         """
-        slept = self._watch.take_slept()
-        if slept <= 0:
+        suspended_for = self._detector.take_suspended_seconds()
+        if suspended_for <= 0:
             return
         now = _clock.now()
-        with self._guard:
+        with self._lock:
             self._core.doubt()
-            self._settled.clear()
-            self._woke = now
-        log("host", f"slept for {slept:.1f} s, asks for news.", slept=round(slept, 3))
-        threading.Thread(target=self._ask, name="waking", daemon=True).start()
-
-    def note_peer_news(self, now: float) -> None:
-        """Take note that a peer that hears the store knows no more than this host."""
-        if self._core.is_doubting and now - self._woke > SETTLING_SECONDS:
-            self._trust("a peer")
-
-    def give_up(self, now: float) -> None:
-        """Go on with the old beliefs when nobody has told anything for too long."""
-        if self._core.is_doubting and now - self._woke > GIVE_UP_SECONDS:
-            self._trust("nobody")
-
-    def _ask(self) -> None:
+            self._initialized.clear()
+            self._resumed_at = now
+        log(
+            "host",
+            f"slept for {suspended_for:.1f} s, refreshing its state.",
+            slept=round(suspended_for, 3),
+        )
+        threading.Thread(target=self._refresh, name="waking", daemon=True).start()
+
+    def record_peer_current(self, now: float) -> None:
+        """Record that a peer that follows the store knows no more than this host."""
+        if self._core.is_doubting and now - self._resumed_at > STALE_DATAGRAM_SECONDS:
+            self._mark_current("a peer")
+
+    def check_timeout(self, now: float) -> None:
+        """Continue with the old state if it was not confirmed in time."""
+        if self._core.is_doubting and now - self._resumed_at > REFRESH_TIMEOUT_SECONDS:
+            self._mark_current("nobody")
+
+    def _refresh(self) -> None:
         self._sources.greet_peers(_clock.now())
         try:
             self._sources.read_store()
         except PlatformError as error:
-            log("host", "the store tells no news.", error=error.show())
-            time.sleep(ANSWER_SECONDS)
-            with self._guard:
-                can_wait = self._sources.can_peers_tell(_clock.now())
+            log(
+                "host",
+                "reading the store after a suspension failed.",
+                error=error.show(),
+            )
+            time.sleep(PEER_ANSWER_SECONDS)
+            with self._lock:
+                can_wait = self._sources.has_informed_peer(_clock.now())
             if not can_wait:
-                self._trust("nobody")
+                self._mark_current("nobody")
             return
-        self._trust("the store")
+        self._mark_current("the store")
 
-    def _trust(self, source: str) -> None:
-        with self._guard:
+    def _mark_current(self, source: str) -> None:
+        with self._lock:
             if not self._core.is_doubting:
                 return
             self._core.trust()
-            self._settled.set()
-            took = _clock.now() - self._woke
+            self._initialized.set()
+            took = _clock.now() - self._resumed_at
         log("host", f"serves again, by {source}.", source=source, took=round(took, 3))
--- a/src/rudderpass/host/_warmup.py
+++ b/src/rudderpass/host/_warmup.py
@@ -1,8 +1,9 @@
-"""Learn at a host's start what the upstreams keep in their caches.
+"""Learns at the start of a host which prompt parts the upstreams have cached.
 
-A host that knows nothing sends prompts to upstreams that must read them again, and
-copies nothing. A peer that has been up for a while knows all of it. When all hosts were
-restarted at once, each asks some of the upstreams and tells the others.
+Without this knowledge a host sends prompts to upstreams that must prefill them again,
+and requests no copies between caches. A peer that has been up for a while knows the
+contents of all caches. When all hosts were restarted at once, each queries some of the
+upstreams and shares the results.
 """
 
 from __future__ import annotations
@@ -22,33 +23,33 @@
 from rudderpass.gossip import GossipTransport, Mesh
 
 LISTEN_SECONDS = 0.6
-"""How long a starting host listens for peers before it decides whom to ask; a live peer
-answers a greeting at once, and beats come twice a second."""
+"""Time for which a starting host listens before it chooses a peer to ask. A live peer
+answers a greeting at once, and heartbeats come twice a second."""
 
 POLL_SECONDS = 0.1
-GIVE_UP_SECONDS = 10.0
-"""After so long without a configuration what was kept has lost its value."""
+CONFIG_WAIT_SECONDS = 10.0
+"""Time without a configuration after which cache contents are no longer useful."""
 
 PartsReader = Callable[[RegisteredUpstream], tuple[PromptPart, ...]]
-"""Asks an upstream what it keeps.
+"""Asks an upstream which prompt parts it has cached.
 
-:raises UpstreamError: when it does not answer, or has started again since.
+:raises UpstreamError: when it does not answer, or has restarted since.
 """
 
 
 @dataclass(frozen=True)
 class WarmupParts:
-    """What the warm-up needs of the host."""
+    """The parts of the host that the warm-up uses."""
 
     core: ExchangeCore
-    mesh: Mesh
-    guard: threading.RLock
+    peer_table: Mesh
+    lock: threading.RLock
     transport: GossipTransport
     read_parts: PartsReader
 
 
 class CacheWarmup:
-    """Runs once, in a thread of its own.
+    """Fills the host's view of upstream caches, once, in a thread of its own.
 
     .. versionadded:: 0.2
     """
@@ -58,69 +59,81 @@
         self._stopping = stopping
 
     def run(self) -> None:
-        """Learn what the upstreams keep, from a peer or from themselves."""
-        if not self._wait_for_beliefs():
-            log("cache", "not learned, there is no configuration.")
-        elif not self._ask_peer():
+        """Learn the contents of caches from a peer, or else from the upstreams."""
+        if not self._wait_for_upstreams():
+            log(
+                "cache",
+                "cache contents not learned, no configuration with engine upstreams.",
+            )
+        elif not self._fetch_from_peer():
             self._ask_upstreams()
-        with self._parts.guard:
+        with self._parts.lock:
             self._parts.core.is_warm = True
 
-    def _wait_for_beliefs(self) -> bool:
+    def _wait_for_upstreams(self) -> bool:
         began = _clock.now()
         self._stopping.wait(LISTEN_SECONDS)
-        while _clock.now() - began < GIVE_UP_SECONDS:
-            with self._parts.guard:
+        while _clock.now() - began < CONFIG_WAIT_SECONDS:
+            with self._parts.lock:
                 if self._parts.core.engine_upstreams():
                     return True
             if self._stopping.wait(POLL_SECONDS):
                 return False
         return False
 
-    def _ask_peer(self) -> bool:
-        with self._parts.guard:
-            peer = self._parts.mesh.warm_peer(_clock.now())
+    def _fetch_from_peer(self) -> bool:
+        with self._parts.lock:
+            peer = self._parts.peer_table.warm_peer(_clock.now())
         if peer is None:
             return False
         try:
             prompts = self._parts.transport.fetch_prompts(peer)
         except PeerError as error:
-            log("cache", f"no peer's knowledge, {error.show()}.", peer=peer)
+            log(
+                "cache",
+                f"cache contents not fetched from peer, {error.show()}.",
+                peer=peer,
+            )
             return False
-        with self._parts.guard:
+        with self._parts.lock:
             self._parts.core.caches.take(prompts, _clock.now())
-        log("cache", f"learned from {peer}.", peer=peer, upstreams=len(prompts))
+        log(
+            "cache",
+            f"cache contents fetched from {peer}.",
+            peer=peer,
+            upstreams=len(prompts),
+        )
         return True
 
     def _ask_upstreams(self) -> None:
-        with self._parts.guard:
+        with self._parts.lock:
             upstreams = self._parts.core.engine_upstreams()
-            live = self._parts.mesh.live(_clock.now())
+            live = self._parts.peer_table.live(_clock.now())
         hosts = [self._parts.transport.address, *live]
         for entry in upstreams:
-            if is_reader(self._parts.transport.address, hosts, entry.upstream):
+            if should_ask(self._parts.transport.address, hosts, entry.upstream):
                 self._ask_upstream(entry)
 
     def _ask_upstream(self, entry: RegisteredUpstream) -> None:
         try:
-            kept = self._parts.read_parts(entry)
+            cached = self._parts.read_parts(entry)
         except UpstreamError as error:
             log("cache", error.show(), upstream=entry.upstream, error=str(error))
             return
-        if kept:
-            with self._parts.guard:
-                prompt = SentPrompt(entry.upstream, kept)
+        if cached:
+            with self._parts.lock:
+                prompt = SentPrompt(entry.upstream, cached)
                 self._parts.core.caches.share(prompt, _clock.now())
         log(
             "cache",
-            f"{entry.upstream} keeps {len(kept)} parts.",
+            f"{entry.upstream} has {len(cached)} prompt parts cached.",
             upstream=entry.upstream,
-            tokens=sum(part.tokens for part in kept),
+            tokens=sum(part.tokens for part in cached),
         )
 
 
-def is_reader(own: NodeId, hosts: list[NodeId], upstream: UpstreamId) -> bool:
-    """Tell whether ``own`` is the host that asks an upstream, of all that could."""
+def should_ask(own: NodeId, hosts: list[NodeId], upstream: UpstreamId) -> bool:
+    """Return whether ``own`` is the host that queries an upstream (rendezvous hash)."""
     return own == max(
         hosts, key=lambda host: xxhash.xxh64_intdigest(f"{host} {upstream}".encode())
     )
--- a/src/rudderpass/platform/_settings_file.py
+++ b/src/rudderpass/platform/_settings_file.py
@@ -126,7 +126,9 @@
             is_fenced=bounds.flag("fencingRequired"),
         ),
         window=bounds.number("reportWindowS") if reports_usage else usual.window,
-        late=bounds.number("usageLateS") if reports_usage else usual.late,
+        report_delay=(
+            bounds.number("usageLateS") if reports_usage else usual.report_delay
+        ),
     )
 
 
@@ -138,7 +140,7 @@
     return HostSettings(
         name=table.text("node"),
         zone=AvailabilityZone(table.text("zone")),
-        front=listen.text("front"),
+        listen=listen.text("front"),
         ready=listen.text("ready"),
         peer=f"{ip}:{peer_port}",
         metrics=f"{ip}:{METRICS_PORT}",
--- a/tests/gossip/test_mutated.py
+++ b/tests/gossip/test_mutated.py
@@ -23,7 +23,7 @@
     encode_state,
 )
 from rudderpass.gossip._codec import decode_beat
-from rudderpass.host._gossip_protocol import Telling
+from rudderpass.host._gossip_protocol import GossipProtocol
 from rudderpass.learning import StreamSample
 from tests.directory.builders import ZONE, make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
@@ -90,8 +90,8 @@
         return
     core = make_core(make_route())
     mesh = Mesh(OWN, random.Random(1))
-    telling = Telling(OWN, ZONE, 100, core, mesh, lambda now: False)
-    telling.take(beat, 1.0)
+    telling = GossipProtocol(OWN, ZONE, 100, core, mesh, lambda now: False)
+    telling.receive(beat, 1.0)
     telling.compose(1.05, is_relayed=True)
     assign(core, make_request(parts=PROMPT.parts), 1.1)
 
--- a/tests/host/fleet.py
+++ b/tests/host/fleet.py
@@ -1,4 +1,4 @@
-"""Many hosts that tell one another, in virtual time and without sockets."""
+"""Simulation of many hosts that exchange heartbeats, in virtual time, no sockets."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from rudderpass.gossip import RELAY_FROM, Beat, FollowRule, Mesh
 from rudderpass.gossip._codec import decode_beat, encode_beat
 from rudderpass.gossip._transport import MAX_DATAGRAM
-from rudderpass.host._gossip_protocol import Telling
+from rudderpass.host._gossip_protocol import GossipProtocol
 from tests.directory.builders import make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
 
-INTERVAL = 0.25
-DELAY = 0.005
+HEARTBEAT_SECONDS = 0.25
+DELAY_SECONDS = 0.005
 
 
 class FleetHost:
-    """One host's telling, as its daemon would drive it."""
+    """One simulated host: its gossip protocol and exchange core."""
 
     def __init__(
         self, name: NodeId, zone: AvailabilityZone, link_mbps: int, upstreams: int
@@ -31,13 +31,13 @@
         self.name = name
         self.link_mbps = link_mbps
         self.zone = zone
-        self.mesh = Mesh(name, random.Random(name))
+        self.peer_table = Mesh(name, random.Random(name))
         self.core: ExchangeCore = make_core(
-            make_route(), upstreams=upstreams, rank_host=self.mesh.rank_host
+            make_route(), upstreams=upstreams, rank_host=self.peer_table.rank_host
         )
-        self.rule = FollowRule(name, self.mesh, -10.0)
-        self.telling = Telling(
-            name, zone, link_mbps, self.core, self.mesh, lambda now: False
+        self.rule = FollowRule(name, self.peer_table, -10.0)
+        self.protocol = GossipProtocol(
+            name, zone, link_mbps, self.core, self.peer_table, lambda now: False
         )
         self.is_up = True
 
@@ -46,10 +46,11 @@
 
 
 class Fleet:
-    """Hosts in zones; datagrams take DELAY and may be lost.
+    """Hosts in zones; datagrams take DELAY_SECONDS and may be lost.
 
     :param loss: share of the datagrams that get lost.
-    :param links: what the links of a zone's hosts carry, in turn, Mbit/s.
+    :param links: link bandwidths, Mbit/s, assigned to the hosts of a zone in turn.
+    :ivar blocked_links: pairs of sender and recipient whose datagrams are lost.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
     ) -> None:
         self.now = 0.0
         self.received: Counter[NodeId] = Counter()
-        self.cut: set[tuple[NodeId, NodeId]] = set()
+        self.blocked_links: set[tuple[NodeId, NodeId]] = set()
         self._upstreams = upstreams
         self._rng = random.Random(7)
         self._loss = loss
@@ -80,11 +81,13 @@
             for number in range(hosts)
         }
         for host in self.hosts.values():
-            host.mesh.add(self.hosts)
-            self._after(self._rng.uniform(0.0, INTERVAL), partial(self._start, host))
+            host.peer_table.add(self.hosts)
+            self._after(
+                self._rng.uniform(0.0, HEARTBEAT_SECONDS), partial(self._start, host)
+            )
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance time."""
         until = self.now + seconds
         while self._due and self._due[0][0] <= until:
             self.now, _, action = heapq.heappop(self._due)
@@ -92,34 +95,34 @@
         self.now = until
 
     def restart(self, host: FleetHost) -> FleetHost:
-        """Start a host again: it knows nothing but whom it may greet."""
+        """Restart a host; it knows only which peers it may greet."""
         started = FleetHost(host.name, host.zone, host.link_mbps, self._upstreams)
         self.hosts[host.name] = started
-        started.mesh.add(self.hosts)
+        started.peer_table.add(self.hosts)
         self._start(started)
         return started
 
-    def tell_now(self, host: FleetHost) -> None:
-        """Send a host's next beat at once, as it does when it has seen a crash."""
-        self._send_beats(host)
+    def send_now(self, host: FleetHost) -> None:
+        """Send a host's next heartbeat at once, as after a crash."""
+        self._send_heartbeats(host)
 
     def up(self) -> list[FleetHost]:
-        """Return the hosts that run."""
+        """Return the hosts that are up."""
         return [host for host in self.hosts.values() if host.is_up]
 
     def relays(self, zone: str) -> list[FleetHost]:
-        """Return the hosts of a zone that take themselves as relays."""
-        return [h for h in self.up() if h.zone == zone and h.telling.is_relay]
+        """Return the hosts of a zone that act as relays."""
+        return [h for h in self.up() if h.zone == zone and h.protocol.is_relay]
 
     def send(self, host: FleetHost, name: str, tokens: int = 8000) -> Assignment:
-        """Let a host send a prompt whose first part others may ask for."""
+        """Assign a prompt at a host; other prompts may share its first part."""
         request = make_request(
             request_id=RequestId(name), parts=parts((name, tokens), (f"own-{name}", 50))
         )
         return assign(host.core, request, self.now)
 
-    def true_load(self) -> dict[str, Load]:
-        """Return the work under way, as all hosts together know it."""
+    def actual_load(self) -> dict[str, Load]:
+        """Return the actual load, the sum of all hosts' own requests in flight."""
         total: dict[str, Load] = {}
         for host in self.up():
             for upstream, load in host.core.loads.own.items():
@@ -130,42 +133,44 @@
         heapq.heappush(self._due, (self.now + seconds, next(self._order), action))
 
     def _start(self, host: FleetHost) -> None:
-        """Greet all that the store lists, as a starting host does."""
-        data = encode_beat(host.telling.greet(self.now, host.is_relayed(self.now)))
-        for target in host.mesh.silent(self.now):
+        """Greet all hosts listed in the store, as a starting host does."""
+        data = encode_beat(
+            host.protocol.make_greeting(self.now, host.is_relayed(self.now))
+        )
+        for target in host.peer_table.silent(self.now):
             self._deliver(host.name, target, data)
         self._tick(host)
 
     def _tick(self, host: FleetHost) -> None:
         if self.hosts[host.name] is not host:
-            return  # It was started again.
-        self._after(INTERVAL, partial(self._tick, host))
+            return  # The host was restarted.
+        self._after(HEARTBEAT_SECONDS, partial(self._tick, host))
         if not host.is_up:
             return
         host.core.tick(self.now)
         host.core.quarantine.tick(self.now)
-        self._send_beats(host)
+        self._send_heartbeats(host)
 
-    def _send_beats(self, host: FleetHost) -> None:
-        messages = host.telling.compose(self.now, host.is_relayed(self.now))
+    def _send_heartbeats(self, host: FleetHost) -> None:
+        messages = host.protocol.compose(self.now, host.is_relayed(self.now))
         for message in messages:
-            data = encode_beat(message.beat)
+            data = encode_beat(message.heartbeat)
             assert len(data) <= MAX_DATAGRAM
             for target in message.targets:
                 self._deliver(host.name, target, data)
 
     def _deliver(self, sender: NodeId, target: NodeId, data: bytes) -> None:
-        if (sender, target) in self.cut:
+        if (sender, target) in self.blocked_links:
             return
         if self._rng.random() >= self._loss:
-            self._after(DELAY, partial(self._take, sender, target, data))
+            self._after(DELAY_SECONDS, partial(self._receive, sender, target, data))
 
-    def _take(self, sender: NodeId, target: NodeId, data: bytes) -> None:
+    def _receive(self, sender: NodeId, target: NodeId, data: bytes) -> None:
         host = self.hosts[target]
         if not host.is_up:
             return
         self.received[target] += 1
-        beat: Beat = decode_beat(data, sender)
-        if host.telling.take(beat, self.now):
-            greeting = host.telling.greet(self.now, host.is_relayed(self.now))
+        heartbeat: Beat = decode_beat(data, sender)
+        if host.protocol.receive(heartbeat, self.now):
+            greeting = host.protocol.make_greeting(self.now, host.is_relayed(self.now))
             self._deliver(target, sender, encode_beat(greeting))
--- a/tests/host/test_command.py
+++ b/tests/host/test_command.py
@@ -1,4 +1,4 @@
-"""The real command: what it refuses, and that it listens before it is loaded."""
+"""The ``host`` command: invalid input, and listening before it is loaded."""
 
 from __future__ import annotations
 
@@ -47,7 +47,9 @@
         ("--most-upstreams", "many", "valid integer"),
     ],
 )
-def test_a_wrong_flag_is_named(flag: str, value: str, reason: str) -> None:
+def test_an_invalid_option_is_named_in_the_error(
+    flag: str, value: str, reason: str
+) -> None:
     result = CliRunner().invoke(main, ["host", "--settings", "x", flag, value])
     assert result.exit_code == 2
     assert flag in result.output and reason in result.output
@@ -62,39 +64,39 @@
         (["--listen"], None),
     ],
 )
-def test_the_address_is_found_among_the_arguments(
+def test_the_listen_address_is_found_among_the_arguments(
     arguments: list[str], found: str | None
 ) -> None:
     assert find_listen(arguments) == found
 
 
-def test_a_caller_may_connect_before_anybody_accepts() -> None:
+def test_a_caller_can_connect_before_the_host_accepts() -> None:
     with open_listener("127.0.0.1:0") as listener:
         caller = socket.create_connection(listener.getsockname(), timeout=5.0)
         caller.sendall(b"early")
-        taken: list[bytes] = []
+        received: list[bytes] = []
 
         def accept() -> None:
             connection, _ = listener.accept()
             with connection:
-                taken.append(connection.recv(16))
+                received.append(connection.recv(16))
 
         thread = threading.Thread(target=accept)
         thread.start()
         thread.join(5.0)
         caller.close()
-    assert taken == [b"early"]
+    assert received == [b"early"]
 
 
-def test_a_taken_address_is_an_error() -> None:
+def test_an_address_in_use_is_an_error() -> None:
     with open_listener("127.0.0.1:0") as listener:
         host, port = listener.getsockname()
         with pytest.raises(OSError):
             open_listener(f"{host}:{port}")
 
 
-def test_a_reload_while_the_host_loads_does_not_end_it(tmp_path: Path) -> None:
-    """The settings come through a pipe, so that the host waits while it starts."""
+def test_a_reload_signal_during_the_start_does_not_end_the_host(tmp_path: Path) -> None:
+    """The settings come from a pipe, so that the host blocks while it starts."""
     pipe = tmp_path / "settings.toml"
     os.mkfifo(pipe)
     environment = {**os.environ, "RUDDERPASS_SETTINGS": str(pipe)}
@@ -103,7 +105,7 @@
         env=environment,
         stderr=subprocess.DEVNULL,
     )
-    with pipe.open("w") as writer:  # Opens once the host reads.
+    with pipe.open("w") as writer:  # Blocks until the host opens it.
         process.send_signal(signal.SIGHUP)
         writer.write("no settings")
     assert process.wait(10) == 2
--- a/tests/host/test_duties.py
+++ b/tests/host/test_duties.py
@@ -1,4 +1,4 @@
-"""Real hosts that hold duties, against stand-ins for the store and the platform."""
+"""Hosts that hold duties, against stand-ins for the store and the platform."""
 
 from __future__ import annotations
 
@@ -27,12 +27,15 @@
 
 @dataclass
 class DutyDeployment:
-    """Hosts whose platform has duties, and callers of theirs."""
+    """Hosts on a platform with duties, and their callers.
+
+    :ivar request_count: requests that were answered with 200.
+    """
 
     deployment: Deployment = field(default_factory=Deployment)
     cloud: CloudStand = field(default_factory=CloudStand)
     hosts: list[ExchangeHost] = field(default_factory=list)
-    asked: int = 0
+    request_count: int = 0
 
     def __post_init__(self) -> None:
         rule = HoldingRule(lease=3.0, thaw_slack=0.3, is_fenced=True)
@@ -48,22 +51,22 @@
             host = self.deployment.start(*seeds, duties=self.settings)
             self.hosts.append(host)
             wait_for(lambda: self.deployment.ask(host) == 200)
-            self.asked += 1
+            self.request_count += 1
 
-    def ask(self, seconds: float) -> None:
-        """Ask every host in turn for a while."""
+    def send_requests(self, seconds: float) -> None:
+        """Send requests to each host in turn for a while."""
         pause = threading.Event()
         for _ in range(int(seconds / 0.05)):
             for host in self.hosts:
                 assert self.deployment.ask(host) == 200
-                self.asked += 1
+                self.request_count += 1
             pause.wait(0.05)
 
     @property
     def holders(self) -> set[str]:
         return {call.holder for call in self.cloud.done}
 
-    def told(self) -> int:
+    def reported_count(self) -> int:
         return sum(sum(counts.values()) for counts in self.cloud.reports().values())
 
     def close(self) -> None:
@@ -78,27 +81,29 @@
     made.close()
 
 
-def test_one_host_reports_what_all_have_served(duties: DutyDeployment) -> None:
+def test_one_host_reports_the_requests_of_all(duties: DutyDeployment) -> None:
     duties.start(3)
-    duties.ask(2.0)
-    wait_for(lambda: duties.told() == duties.asked)
+    duties.send_requests(2.0)
+    wait_for(lambda: duties.reported_count() == duties.request_count)
     assert len(duties.holders) == 1
     assert len({call.token for call in duties.cloud.done}) == 1
     assert set().union(*duties.cloud.reports().values()) == {"team"}
 
 
-def test_the_next_host_goes_on_where_the_holder_ended(duties: DutyDeployment) -> None:
+def test_the_next_holder_reports_the_rest_without_duplicates(
+    duties: DutyDeployment,
+) -> None:
     duties.start(3)
-    duties.ask(1.0)
+    duties.send_requests(1.0)
     wait_for(lambda: bool(duties.holders))
     (first,) = duties.holders
     lost = next(h for h in duties.hosts if h._settings.name == first)
-    duties.ask(0.5)
-    threading.Event().wait(1.2)  # Until all that it counted is told to the others.
+    duties.send_requests(0.5)
+    threading.Event().wait(1.2)  # Until the others have received all of its counts.
     duties.hosts.remove(lost)
     lost.close()
-    duties.ask(2.0)
-    wait_for(lambda: duties.told() == duties.asked)
+    duties.send_requests(2.0)
+    wait_for(lambda: duties.reported_count() == duties.request_count)
     assert len(duties.holders) == 2
     tokens = [call.token for call in duties.cloud.done]
     assert tokens == sorted(tokens)
@@ -112,7 +117,7 @@
     ]
 
 
-def test_upstreams_are_ordered_within_the_operators_bound(
+def test_upstreams_are_ordered_up_to_the_operators_maximum(
     duties: DutyDeployment,
 ) -> None:
     duties.settings = replace(
@@ -121,7 +126,7 @@
     duties.deployment.publish(2, "k1", scaling=SCALING)
     duties.start(1)
     wait_for(lambda: len(orders(duties)) >= 3)
-    # The one upstream that is in the first zone stays.
+    # The upstream that the first zone already has is kept.
     cheap = {("hall-a", 4, True), ("hall-b", 4, True)}
     assert set(orders(duties)) == cheap | {("hall-b", 1, False)}
     wait_for(lambda: read_gauge(duties.hosts[0], "upstreams_wanted") == 10)
@@ -131,22 +136,24 @@
 
 
 @pytest.mark.parametrize("mode", [OrderMode.DRY_RUN, OrderMode.OFF])
-def test_nothing_is_ordered_where_operators_do_not_want_it(
+def test_nothing_is_ordered_when_operators_disallow_it(
     duties: DutyDeployment, mode: OrderMode
 ) -> None:
     duties.settings = replace(duties.settings, orders_upstreams=True, order_mode=mode)
     duties.deployment.publish(2, "k1", scaling=SCALING)
     duties.start(1)
-    duties.ask(2.0)
-    wait_for(lambda: duties.told() == duties.asked)
+    duties.send_requests(2.0)
+    wait_for(lambda: duties.reported_count() == duties.request_count)
     assert orders(duties) == []
     wants = read_gauge(duties.hosts[0], "upstreams_wanted")
     assert wants == (12 if mode is OrderMode.DRY_RUN else 0)
 
 
-def test_a_platform_that_refuses_is_told_later(duties: DutyDeployment) -> None:
+def test_reports_are_retried_after_errors_of_the_platform(
+    duties: DutyDeployment,
+) -> None:
     duties.start(2)
     duties.cloud.status = 503
-    duties.ask(1.5)
+    duties.send_requests(1.5)
     duties.cloud.status = 200
-    wait_for(lambda: duties.told() == duties.asked)
+    wait_for(lambda: duties.reported_count() == duties.request_count)
--- a/tests/host/test_duty_access.py
+++ b/tests/host/test_duty_access.py
@@ -1,4 +1,4 @@
-"""The log of the duties as a host reads it, whatever stands there."""
+"""Decoding of the duties' log, unreadable records included."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert (log.holder, log.token, log.usage) == (None, 5, USAGE)
 
 
-def test_windows_that_may_have_been_told_are_not_told_anew() -> None:
+def test_windows_that_may_have_been_reported_are_not_reported_again() -> None:
     log = read_duty_log(page(encode_duty_holder(HOLDER), b"\xff\xff"))
     assert log.holder == HOLDER
     assert log.usage == UNREADABLE_USAGE
--- a/tests/host/test_gossip_protocol.py
+++ b/tests/host/test_gossip_protocol.py
@@ -1,4 +1,4 @@
-"""Where there are many hosts, relays tell of all; nothing rests on one of them."""
+"""Gossip of many hosts through relays, none of which is a single point of failure."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    """Return a fleet whose hosts have met."""
-    made = Fleet(HOSTS, ZONES)
-    made.run(4.0)
-    return made
+    """Return a fleet whose hosts know one another."""
+    created = Fleet(HOSTS, ZONES)
+    created.run(4.0)
+    return created
 
 
-def loads_seen(host: FleetHost, now: float) -> dict[str, Load]:
+def known_loads(host: FleetHost, now: float) -> dict[str, Load]:
     totals = host.core.loads.totals(now)
     return {str(upstream): load for upstream, load in totals.items() if load.running}
 
@@ -32,42 +32,42 @@
         assert len(fleet.relays(f"hall-{number}")) == 2
 
 
-def test_every_host_knows_the_work_of_all_and_counts_it_once(fleet: Fleet) -> None:
+def test_every_host_knows_the_load_of_all_and_counts_it_once(fleet: Fleet) -> None:
     sent = [
         (host, fleet.send(host, f"p{number}"))
         for number, host in enumerate(fleet.up())
         for _ in range(2)
     ]
     fleet.run(1.5)
-    truth = fleet.true_load()
-    assert sum(load.running for load in truth.values()) == 2 * HOSTS
+    actual = fleet.actual_load()
+    assert sum(load.running for load in actual.values()) == 2 * HOSTS
     for host in fleet.up():
-        seen = loads_seen(host, fleet.now)
-        assert {u: load.running for u, load in seen.items()} == {
-            u: load.running for u, load in truth.items()
+        known = known_loads(host, fleet.now)
+        assert {u: load.running for u, load in known.items()} == {
+            u: load.running for u, load in actual.items()
         }
-        assert {u: load.unread_tokens for u, load in seen.items()} == {
-            u: load.unread_tokens for u, load in truth.items()
+        assert {u: load.unread_tokens for u, load in known.items()} == {
+            u: load.unread_tokens for u, load in actual.items()
         }
     for host, assigned in sent:
         host.core.note_end(assigned, True, fleet.now)
-        assert sum(x.running for x in loads_seen(host, fleet.now).values()) < 2 * HOSTS
+        assert sum(x.running for x in known_loads(host, fleet.now).values()) < 2 * HOSTS
     fleet.run(1.5)
-    assert all(not loads_seen(host, fleet.now) for host in fleet.up())
+    assert all(not known_loads(host, fleet.now) for host in fleet.up())
 
 
-def test_what_a_host_begins_counts_at_once_and_not_twice_when_it_is_told(
+def test_own_requests_count_at_once_and_not_again_in_digests(
     fleet: Fleet,
 ) -> None:
-    host = next(host for host in fleet.up() if not host.telling.is_relay)
+    host = next(host for host in fleet.up() if not host.protocol.is_relay)
     for step in range(40):
         fleet.send(host, f"p{step}")
         fleet.run(0.05)
-        running = sum(x.running for x in loads_seen(host, fleet.now).values())
+        running = sum(x.running for x in known_loads(host, fleet.now).values())
         assert running == step + 1
 
 
-def test_a_prompt_is_known_to_all_within_a_second(fleet: Fleet) -> None:
+def test_all_hosts_know_a_sent_prompt_within_a_second(fleet: Fleet) -> None:
     sender = fleet.up()[5]
     assigned = fleet.send(sender, "plan")
     fleet.run(1.0)
@@ -76,8 +76,8 @@
         assert known == [assigned.upstream]
 
 
-def test_a_host_hears_no_more_datagrams_in_a_larger_fleet() -> None:
-    """Relays hear more; 120 hosts that tell each other twice a second hear 238."""
+def test_a_host_receives_no_more_datagrams_in_a_larger_fleet() -> None:
+    """Relays receive more. Without relays, each of 120 hosts would receive 238/s."""
     mean, most = {}, {}
     for hosts in (60, 120):
         fleet = Fleet(hosts, ZONES)
@@ -92,34 +92,32 @@
 
 def test_all_hosts_are_known_and_share_the_budget(fleet: Fleet) -> None:
     for host in fleet.up():
-        assert len(host.mesh.live(fleet.now)) == HOSTS - 1
-        assert host.mesh.count_hosts(fleet.now) == HOSTS
+        assert len(host.peer_table.live(fleet.now)) == HOSTS - 1
+        assert host.peer_table.count_hosts(fleet.now) == HOSTS
 
 
-def test_a_host_that_is_lost_is_not_live_for_long(fleet: Fleet) -> None:
-    lost = next(host for host in fleet.up() if not host.telling.is_relay)
+def test_a_lost_host_soon_stops_counting_as_live(fleet: Fleet) -> None:
+    lost = next(host for host in fleet.up() if not host.protocol.is_relay)
     lost.is_up = False
     fleet.run(5.0)
-    assert all(lost.name not in host.mesh.live(fleet.now) for host in fleet.up())
+    assert all(lost.name not in host.peer_table.live(fleet.now) for host in fleet.up())
 
 
 @pytest.mark.parametrize("lost", [1, 2], ids=["one relay", "both relays"])
-def test_a_zone_whose_relays_are_lost_has_new_ones_in_time(
-    fleet: Fleet, lost: int
-) -> None:
-    gone = fleet.relays("hall-1")[:lost]
-    for host in gone:
+def test_lost_relays_of_a_zone_are_replaced_in_time(fleet: Fleet, lost: int) -> None:
+    lost_relays = fleet.relays("hall-1")[:lost]
+    for host in lost_relays:
         host.is_up = False
     fleet.run(3.0)
     assert len(fleet.relays("hall-1")) >= 2
     fleet.send(next(h for h in fleet.up() if h.zone == "hall-1"), "late")
     fleet.run(1.5)
-    truth = fleet.true_load()
+    actual = fleet.actual_load()
     for host in fleet.up():
-        assert loads_seen(host, fleet.now).keys() == truth.keys()
+        assert known_loads(host, fleet.now).keys() == actual.keys()
 
 
-def test_a_relay_that_returns_is_one_again(fleet: Fleet) -> None:
+def test_a_relay_that_returns_becomes_a_relay_again(fleet: Fleet) -> None:
     first = fleet.relays("hall-2")[0]
     first.is_up = False
     fleet.run(4.0)
@@ -129,43 +127,43 @@
     assert len(fleet.relays("hall-2")) == 2
 
 
-def test_without_any_relay_a_host_goes_by_what_it_does_itself(fleet: Fleet) -> None:
-    alone = fleet.up()[0]
-    assigned = fleet.send(alone, "own")
+def test_without_any_relay_a_host_uses_its_own_load(fleet: Fleet) -> None:
+    isolated = fleet.up()[0]
+    assigned = fleet.send(isolated, "own")
     for host in fleet.up():
-        host.is_up = host is alone
+        host.is_up = host is isolated
     fleet.run(6.0)
-    assert loads_seen(alone, fleet.now).keys() == {assigned.upstream}
+    assert known_loads(isolated, fleet.now).keys() == {assigned.upstream}
 
 
-def test_lost_datagrams_cost_little() -> None:
+def test_lost_datagrams_have_little_effect() -> None:
     fleet = Fleet(HOSTS, ZONES, loss=0.03)
     fleet.run(6.0)
     sender = fleet.up()[9]
     assigned = fleet.send(sender, "plan")
     fleet.run(1.5)
-    knowing = [
-        host for host in fleet.up() if assigned.upstream in loads_seen(host, fleet.now)
+    informed = [
+        host for host in fleet.up() if assigned.upstream in known_loads(host, fleet.now)
     ]
-    assert len(knowing) >= HOSTS * 0.98
+    assert len(informed) >= HOSTS * 0.98
 
 
 @pytest.mark.parametrize("hosts", [8, 39])
-def test_few_hosts_tell_each_other_without_relays(hosts: int) -> None:
+def test_small_fleets_use_no_relays(hosts: int) -> None:
     fleet = Fleet(hosts, 3)
     fleet.run(3.0)
-    assert not any(host.telling.is_relay for host in fleet.up())
+    assert not any(host.protocol.is_relay for host in fleet.up())
     assigned = fleet.send(fleet.up()[0], "plan")
     fleet.run(0.5)
     for host in fleet.up():
-        assert loads_seen(host, fleet.now).keys() == {assigned.upstream}
+        assert known_loads(host, fleet.now).keys() == {assigned.upstream}
 
 
 def test_hosts_with_fast_links_relay_for_those_with_slow_ones() -> None:
-    """Of 15 hosts a zone, 3 have a link of 100 Mbit/s, the others of 5."""
+    """Of 15 hosts in a zone, 3 have a link of 100 Mbit/s, the others of 5 Mbit/s."""
     fleet = Fleet(HOSTS, ZONES, links=(100, 5, 5, 5, 5))
     fleet.run(4.0)
-    relays = [host for host in fleet.up() if host.telling.is_relay]
+    relays = [host for host in fleet.up() if host.protocol.is_relay]
     fast = [host for host in relays if host.link_mbps == 100]
     assert len(relays) == 2 * ZONES
     assert len(fast) >= 0.75 * len(relays)
@@ -175,26 +173,26 @@
     fleet.received.clear()
     fleet.run(4.0)
     for host in fleet.up():
-        if not host.telling.is_relay:
+        if not host.protocol.is_relay:
             assert fleet.received[host.name] <= 4 * (4 + 2) + 2
 
 
-def test_news_from_the_store_go_to_all_at_once(fleet: Fleet) -> None:
-    """Hosts fetch them within a second then; on a later beat they would be later."""
-    follower = next(host for host in fleet.up() if not host.telling.is_relay)
+def test_updates_from_the_store_are_announced_to_all_at_once(fleet: Fleet) -> None:
+    """Hosts fetch an update within 1 s of its announcement, so it must not wait."""
+    follower = next(host for host in fleet.up() if not host.protocol.is_relay)
     others = {host.name for host in fleet.up()} - {follower.name}
     for _ in range(2):
-        messages = follower.telling.compose(fleet.now, True, has_store_news=True)
+        messages = follower.protocol.compose(fleet.now, True, has_store_update=True)
         assert {name for message in messages for name in message.targets} == others
 
 
-def test_what_engines_keep_is_told_in_digests_that_fit(fleet: Fleet) -> None:
-    """When all hosts start again, each tells what some engine keeps."""
+def test_cache_contents_are_split_into_digests_that_fit(fleet: Fleet) -> None:
+    """After a restart of all hosts, each reports cache contents of an engine."""
     rng = random.Random(5)
     engine = UpstreamId("u1")
     for host in fleet.up():
-        kept = parts(*((f"{rng.getrandbits(32):08x}", 3) for _ in range(300)))
-        host.core.caches.share(SentPrompt(engine, kept), fleet.now)
+        cached = parts(*((f"{rng.getrandbits(32):08x}", 3) for _ in range(300)))
+        host.core.caches.share(SentPrompt(engine, cached), fleet.now)
     fleet.run(8.0)
     for host in fleet.up():
         (known,) = host.core.caches.known()
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -1,4 +1,4 @@
-"""A whole host over sockets: store, peers, readiness, metrics, warm-up and stop."""
+"""Complete hosts over sockets: store, peers, readiness, metrics, warm-up, shutdown."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def wait_for(condition: Callable[[], bool]) -> None:
     until = time.monotonic() + TIMEOUT
     while not condition():
-        assert time.monotonic() < until, "not in time"
+        assert time.monotonic() < until, "condition not met in time"
         time.sleep(0.01)
 
 
@@ -79,7 +79,7 @@
 
 
 class Deployment:
-    """A store, one upstream, and as many hosts as a test starts."""
+    """A store, one upstream, and the hosts that a test starts."""
 
     def __init__(self) -> None:
         self.store = StandInStore()
@@ -112,7 +112,7 @@
         settings = HostSettings(
             name=f"host-{len(self.hosts)}",
             zone=ZONE,
-            front="127.0.0.1:0",
+            listen="127.0.0.1:0",
             ready="127.0.0.1:0",
             peer=peer,
             metrics="127.0.0.1:0",
@@ -149,9 +149,9 @@
 
 @pytest.fixture
 def deployment() -> Iterator[Deployment]:
-    made = Deployment()
-    yield made
-    made.close()
+    created = Deployment()
+    yield created
+    created.close()
 
 
 def get(address: str, path: str) -> tuple[int, bytes]:
@@ -193,61 +193,61 @@
     assert 0.0 <= read_gauge(host, "list_age_seconds") < TIMEOUT
 
 
-def test_changes_reach_a_host_that_the_store_turns_away(
+def test_updates_reach_a_host_whose_store_fails(
     deployment: Deployment,
 ) -> None:
     deployment.publish(1, "k1")
     deployment.register()
     served = deployment.start()
     wait_for(lambda: deployment.ask(served) == 200)
-    dead = StandInStore()
-    dead.status = 503
-    cut = deployment.start(served.peer_address, store=dead.address)
-    wait_for(lambda: deployment.ask(cut) == 200)
-    # Its peer's beats tell it how old its list is, though its own store tells nothing.
-    wait_for(lambda: 0.0 < read_gauge(cut, "list_age_seconds") < TIMEOUT)
+    failed_store = StandInStore()
+    failed_store.status = 503
+    isolated = deployment.start(served.peer_address, store=failed_store.address)
+    wait_for(lambda: deployment.ask(isolated) == 200)
+    # It learns the age of its list from its peer's heartbeats, as its store fails.
+    wait_for(lambda: 0.0 < read_gauge(isolated, "list_age_seconds") < TIMEOUT)
     deployment.publish(2, "k2")
-    wait_for(lambda: deployment.ask(cut, key="k2") == 200)
-    assert deployment.ask(cut, key="k1") == 401
+    wait_for(lambda: deployment.ask(isolated, key="k2") == 200)
+    assert deployment.ask(isolated, key="k1") == 401
     deployment.register("draining")
-    wait_for(lambda: deployment.ask(cut, key="k2") == 503)
-    dead.close()
+    wait_for(lambda: deployment.ask(isolated, key="k2") == 503)
+    failed_store.close()
 
 
-def test_a_host_that_knows_nothing_does_not_wait_for_its_own_store(
+def test_a_host_without_state_does_not_wait_for_its_own_store(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After an outage the first host that is answered informs the others."""
+    """After an outage, the first host that reaches the store updates the others."""
     monkeypatch.setattr("rudderpass.gossip._mesh.BEHIND_SECONDS", 1000.0)
     deployment.publish(1, "k1")
     deployment.register()
-    dead = StandInStore()
-    dead.status = 503
-    waiting = deployment.start(store=dead.address)
-    wait_for(lambda: "/-/log-newest" in dead.calls)
+    failed_store = StandInStore()
+    failed_store.status = 503
+    waiting = deployment.start(store=failed_store.address)
+    wait_for(lambda: "/-/log-newest" in failed_store.calls)
     deployment.start(waiting.peer_address)
     wait_for(lambda: deployment.ask(waiting) == 200)
-    dead.close()
+    failed_store.close()
 
 
-def test_a_request_does_not_wait_for_what_nobody_can_tell(
+def test_a_request_does_not_wait_when_no_source_has_state(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was given up on, so it gets its final answer at once."""
+    """Neither the store nor a peer can help, so the request is rejected at once."""
     monkeypatch.setattr("rudderpass.exchange._serve.START_WAIT_SECONDS", 1000.0)
     deployment.store.status = 503
     alone = deployment.start()
     assert deployment.ask(alone) == 503
 
 
-def test_a_starting_host_learns_the_caches(deployment: Deployment) -> None:
-    def keeps(upstream: Upstream, connection: object, asked: Asked) -> None:
+def test_a_starting_host_learns_cache_contents(deployment: Deployment) -> None:
+    def list_cached(upstream: Upstream, connection: object, asked: Asked) -> None:
         body = json.dumps({"epoch": 1, "held": [["", "ab", 800, "m"]]}).encode()
         length = f"Content-Length: {len(body)}\r\n\r\n".encode()
         connection.sendall(b"HTTP/1.1 200 OK\r\n" + length + body)  # type: ignore
 
     deployment.upstream.close()
-    deployment.upstream = Upstream(keeps)
+    deployment.upstream = Upstream(list_cached)
     deployment.publish(1, "k1", engine=True)
     deployment.register()
     first = deployment.start()
@@ -257,13 +257,15 @@
     ]
     second = deployment.start(first.peer_address)
     wait_for(lambda: second.is_warm)
-    assert len(deployment.upstream.asked) == 1, "the first host told it"
+    assert (
+        len(deployment.upstream.asked) == 1
+    ), "the second host fetched the contents from the first"
 
 
 @pytest.mark.parametrize(
     ("is_first_start", "allowed"), [(True, "true"), (False, "false")]
 )
-def test_a_host_that_starts_again_takes_its_share_of_repeats_as_spent(
+def test_a_restarted_host_starts_with_its_retry_budget_spent(
     deployment: Deployment, is_first_start: bool, allowed: str
 ) -> None:
     deployment.upstream.close()
@@ -277,7 +279,7 @@
     assert counted == [allowed]
 
 
-def test_a_stop_lets_what_runs_end(deployment: Deployment) -> None:
+def test_a_shutdown_waits_for_requests_in_flight(deployment: Deployment) -> None:
     def slow(upstream: Upstream, connection: object, asked: Asked) -> None:
         time.sleep(0.4)
         answer()(upstream, connection, asked)  # type: ignore[arg-type]
@@ -300,11 +302,11 @@
 
 
 def list_calls(store: StandInStore) -> list[str]:
-    """The calls that read or write whole lists; waiting for news is left out."""
+    """Return the calls that read or write whole lists; long polls are left out."""
     return [call for call in store.calls if call != "/-/log-read"]
 
 
-def test_at_the_first_start_each_host_is_listed_before_it_reads_the_list(
+def test_at_the_first_start_each_host_registers_before_it_reads_the_list(
     deployment: Deployment,
 ) -> None:
     first = deployment.start(is_first_start=True)
@@ -313,36 +315,36 @@
     assert list(deployment.store.newest(HOSTS_TOPIC)) == [first.peer_address]
 
 
-def find_late_address(names: list[str]) -> str:
-    """Return a free address that is not among the first to follow of all hosts."""
+def find_non_follower_address(names: list[str]) -> str:
+    """Return a free address of a host that is not among the store followers."""
     while True:
         with socket.create_server(("127.0.0.1", 0)) as probe:
             address = f"127.0.0.1:{probe.getsockname()[1]}"
-        mesh = Mesh(NodeId(address), random.Random(1))
-        mesh.add(NodeId(name) for name in names)
-        rule = FollowRule(NodeId(address), mesh, started=0.0)
+        peer_table = Mesh(NodeId(address), random.Random(1))
+        peer_table.add(NodeId(name) for name in names)
+        rule = FollowRule(NodeId(address), peer_table, started=0.0)
         rule.note_acquainted()
         if not rule.should_follow(0.0):
             return address
 
 
-def test_a_host_of_many_that_comes_back_takes_its_beliefs_from_peers(
+def test_a_restarted_host_of_a_large_deployment_gets_its_state_from_peers(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # However long the machine takes, the host waits for a follower in this test.
+    # On a slow machine, too, the host must wait for a follower in this test.
     monkeypatch.setattr("rudderpass.gossip._following.START_SECONDS", 60.0)
     deployment.publish(1, "k1")
     deployment.register()
     first = deployment.start()
     wait_for(lambda: deployment.ask(first) == 200)
-    # Only the peer that answers follows the store; the others listed are gone.
-    gone = [f"127.0.0.1:{port}" for port in range(1, 30)]
-    address = find_late_address([first.peer_address, *gone])
-    for name in (address, *gone):
+    # Only the live peer follows the store; the other listed hosts are down.
+    down = [f"127.0.0.1:{port}" for port in range(1, 30)]
+    address = find_non_follower_address([first.peer_address, *down])
+    for name in (address, *down):
         deployment.store.put(HOSTS_TOPIC, name, b"hall-a")
     before = len(list_calls(deployment.store))
-    back = deployment.start(first.peer_address, peer=address)
-    wait_for(lambda: deployment.ask(back) == 200)
-    # Peers inform it at once, so it may serve before it has asked the store.
+    restarted = deployment.start(first.peer_address, peer=address)
+    wait_for(lambda: deployment.ask(restarted) == 200)
+    # Peers update it at once, so it may serve before it has called the store.
     wait_for(lambda: len(list_calls(deployment.store)) > before)
     assert list_calls(deployment.store)[before:] == ["/-/log-newest"]
--- a/tests/host/test_quarantine.py
+++ b/tests/host/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantines on whole hosts: told, kept in the store, seen and lifted by operators."""
+"""Quarantines on complete hosts: gossip, archive in the store, operators' access."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 __all__ = ["deployment"]
 
 
-def crash_three(host: ExchangeHost) -> None:
-    """Let a host see three upstreams crash under one request."""
+def record_three_crashes(host: ExchangeHost) -> None:
+    """Record on a host that three upstreams crashed while serving one request."""
     now = _clock.now()
-    with host._guard:
+    with host._lock:
         for number in range(3):
             seen = crash(f"u{number}", now - 3 + number)
             see_crash(host._core.quarantine, BAD, seen)
-    host._peers.tell_soon()
+    host._peers.send_soon()
 
 
 def quarantined(host: ExchangeHost) -> list[dict[str, object]]:
@@ -50,11 +50,11 @@
     return host
 
 
-def test_peers_know_at_once(deployment: Deployment) -> None:
+def test_peers_learn_of_a_quarantine_at_once(deployment: Deployment) -> None:
     first = start(deployment)
     second = start(deployment, first.peer_address)
     wait_for(lambda: read_gauge(first, "live_peers") == 1)
-    crash_three(first)
+    record_three_crashes(first)
     began = time.monotonic()
     wait_for(lambda: bool(quarantined(second)))
     assert time.monotonic() - began < 1.0
@@ -62,13 +62,13 @@
     assert read_gauge(second, "suspect_requests") == 1
 
 
-def test_a_host_that_starts_alone_learns_it_from_the_store(
+def test_a_host_that_starts_alone_reads_quarantines_from_the_store(
     deployment: Deployment,
 ) -> None:
     first = start(deployment)
     wait_for(lambda: len(deployment.store.newest(HOSTS_TOPIC)) == 1)
     before = dict(deployment.store.newest(HOSTS_TOPIC))
-    crash_three(first)
+    record_three_crashes(first)
     wait_for(lambda: dict(deployment.store.newest(HOSTS_TOPIC)) != before)
     first.close()
     second = start(deployment)
@@ -78,23 +78,25 @@
     assert listed["upstreams"] == ["u0", "u1", "u2"]
 
 
-def test_it_is_written_once_the_store_is_back(deployment: Deployment) -> None:
+def test_a_quarantine_is_archived_once_the_store_is_back(
+    deployment: Deployment,
+) -> None:
     host = start(deployment)
     wait_for(lambda: len(deployment.store.newest(HOSTS_TOPIC)) == 1)
     before = dict(deployment.store.newest(HOSTS_TOPIC))
     deployment.store.status = 503
-    crash_three(host)
+    record_three_crashes(host)
     time.sleep(0.5)
     assert dict(deployment.store.newest(HOSTS_TOPIC)) == before
     deployment.store.status = 0
     wait_for(lambda: dict(deployment.store.newest(HOSTS_TOPIC)) != before)
 
 
-def test_operators_see_and_lift_a_quarantine(deployment: Deployment) -> None:
+def test_operators_list_and_lift_a_quarantine(deployment: Deployment) -> None:
     first = start(deployment)
     second = start(deployment, first.peer_address)
     wait_for(lambda: read_gauge(first, "live_peers") == 1)
-    crash_three(first)
+    record_three_crashes(first)
     wait_for(lambda: bool(quarantined(second)))
     shown = run("list", second.metrics_address).output.splitlines()
     assert shown[0].startswith(f"{BAD.hex()} team {TEAM}, 1")
@@ -110,7 +112,7 @@
     ("fingerprint", "text"),
     [("zz", "is not hexadecimal"), ("ab" * 16, "no crash is known")],
 )
-def test_what_cannot_be_lifted_is_told(
+def test_a_failed_lift_is_explained(
     deployment: Deployment, fingerprint: str, text: str
 ) -> None:
     host = start(deployment)
@@ -119,38 +121,38 @@
     assert text in result.output
 
 
-def test_lifting_takes_a_post(deployment: Deployment) -> None:
+def test_lifting_requires_a_post(deployment: Deployment) -> None:
     host = start(deployment)
     path = f"/quarantine/lift?fingerprint={BAD.hex()}"
     assert get(host.metrics_address, path)[0] == 405
 
 
-def test_a_host_that_does_not_answer_is_named() -> None:
+def test_an_unreachable_host_is_named_in_the_error() -> None:
     result = run("list", "127.0.0.1:1")
     assert result.exit_code == 1
     assert "peer=127.0.0.1:1" in result.output
 
 
-def test_what_is_urgent_is_told_in_one_beat(
+def test_urgent_reports_are_sent_in_one_heartbeat(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first = start(deployment)
     second = start(deployment, first.peer_address)
     wait_for(lambda: read_gauge(first, "live_peers") == 1)
-    told: list[float] = []
-    tell = first._peers.transport.tell
+    sent_at: list[float] = []
+    send = first._peers.transport.tell
 
-    def count(beat: Beat, peers: Iterable[NodeId]) -> None:
-        if beat.suspects:
-            told.append(time.monotonic())
-        tell(beat, peers)
+    def count(heartbeat: Beat, peers: Iterable[NodeId]) -> None:
+        if heartbeat.suspects:
+            sent_at.append(time.monotonic())
+        send(heartbeat, peers)
 
     monkeypatch.setattr(first._peers.transport, "tell", count)
     began = time.monotonic()
-    crash_three(first)
+    record_three_crashes(first)
     for _ in range(20):
-        first._peers.tell_soon()
+        first._peers.send_soon()
     wait_for(lambda: bool(quarantined(second)))
-    assert told[0] - began < 0.2
+    assert sent_at[0] - began < 0.2
     time.sleep(0.1)
-    assert len(told) == 1
+    assert len(sent_at) == 1
--- a/tests/host/test_quarantine_propagation.py
+++ b/tests/host/test_quarantine_propagation.py
@@ -1,4 +1,4 @@
-"""Every host knows of a quarantined request within 3 s, whatever happened to it."""
+"""Every host learns of a quarantine within 3 s, after any of several failures."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tests.host.fleet import Fleet, FleetHost
 from tests.quarantine.builders import BAD, crash, see_crash
 
-KNOWN_SECONDS = 3.0
-"""The users' bound from the third crash on."""
+PROPAGATION_SECONDS = 3.0
+"""Maximum time, required by users, from the third crash until all hosts know."""
 
-SMALL, LARGE = 8, 60
-"""Hosts of a fleet in which each tells each, and of one with relays."""
+SMALL_FLEET, LARGE_FLEET = 8, 60
+"""Host counts below and above the threshold for using relays."""
 
 
 def make_fleet(hosts: int, loss: float = 0.0) -> Fleet:
@@ -22,97 +22,100 @@
 
 
 def crash_upstreams(fleet: Fleet) -> None:
-    """Let three hosts see one crash each, half a second apart."""
+    """Record one crash on each of three hosts, half a second apart."""
     for number, host in enumerate(fleet.up()[:3]):
         see_crash(host.core.quarantine, BAD, crash(f"u{number}", fleet.now))
-        fleet.tell_now(host)
+        fleet.send_now(host)
         fleet.run(0.5 if number < 2 else 0.0)
 
 
-def knows(fleet: Fleet, host: FleetHost) -> bool:
+def is_quarantined_at(fleet: Fleet, host: FleetHost) -> bool:
     verdict = host.core.quarantine.judge(BAD, fleet.now)
     return verdict.kind is VerdictKind.QUARANTINED
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.1])
-@pytest.mark.parametrize("hosts", [SMALL, LARGE])
-def test_all_hosts_know_soon(hosts: int, loss: float) -> None:
+@pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
+def test_all_hosts_learn_of_a_quarantine_in_time(hosts: int, loss: float) -> None:
     fleet = make_fleet(hosts, loss)
     crash_upstreams(fleet)
-    fleet.run(KNOWN_SECONDS)
-    assert all(knows(fleet, host) for host in fleet.up())
+    fleet.run(PROPAGATION_SECONDS)
+    assert all(is_quarantined_at(fleet, host) for host in fleet.up())
 
 
-def test_hosts_that_tell_each_other_know_at_once() -> None:
-    fleet = make_fleet(SMALL)
+def test_hosts_without_relays_learn_at_once() -> None:
+    fleet = make_fleet(SMALL_FLEET)
     crash_upstreams(fleet)
     fleet.run(0.05)
-    assert all(knows(fleet, host) for host in fleet.up())
+    assert all(is_quarantined_at(fleet, host) for host in fleet.up())
 
 
-@pytest.mark.parametrize("hosts", [SMALL, LARGE])
-def test_a_host_that_starts_again_knows_soon(hosts: int) -> None:
+@pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
+def test_a_restarted_host_learns_in_time(hosts: int) -> None:
     fleet = make_fleet(hosts)
     crash_upstreams(fleet)
-    fleet.run(KNOWN_SECONDS)
-    started = fleet.restart(fleet.up()[-1])
-    fleet.run(KNOWN_SECONDS)
-    assert knows(fleet, started)
+    fleet.run(PROPAGATION_SECONDS)
+    restarted = fleet.restart(fleet.up()[-1])
+    fleet.run(PROPAGATION_SECONDS)
+    assert is_quarantined_at(fleet, restarted)
 
 
-@pytest.mark.parametrize("hosts", [SMALL, LARGE])
-def test_it_is_enough_that_one_host_is_left(hosts: int) -> None:
+@pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
+def test_one_host_that_was_not_restarted_is_enough(hosts: int) -> None:
     fleet = make_fleet(hosts)
     crash_upstreams(fleet)
-    fleet.run(KNOWN_SECONDS)
+    fleet.run(PROPAGATION_SECONDS)
     for host in fleet.up()[1:]:
         fleet.restart(host)
-    fleet.run(KNOWN_SECONDS)
-    assert all(knows(fleet, host) for host in fleet.up())
+    fleet.run(PROPAGATION_SECONDS)
+    assert all(is_quarantined_at(fleet, host) for host in fleet.up())
 
 
-@pytest.mark.parametrize("hosts", [SMALL, LARGE])
-def test_a_host_that_was_cut_off_knows_soon_after(hosts: int) -> None:
+@pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
+def test_an_isolated_host_learns_after_it_is_reconnected(hosts: int) -> None:
     fleet = make_fleet(hosts)
-    alone = fleet.up()[-1]
+    isolated = fleet.up()[-1]
     for other in fleet.up():
-        fleet.cut |= {(alone.name, other.name), (other.name, alone.name)}
+        fleet.blocked_links |= {
+            (isolated.name, other.name),
+            (other.name, isolated.name),
+        }
     crash_upstreams(fleet)
     fleet.run(8.0)
-    assert not knows(fleet, alone)
-    fleet.cut.clear()
-    fleet.run(KNOWN_SECONDS)
-    assert knows(fleet, alone)
+    assert not is_quarantined_at(fleet, isolated)
+    fleet.blocked_links.clear()
+    fleet.run(PROPAGATION_SECONDS)
+    assert is_quarantined_at(fleet, isolated)
 
 
-@pytest.mark.parametrize("hosts", [SMALL, LARGE])
-def test_hosts_that_do_not_hear_the_witnesses_hear_others(hosts: int) -> None:
+@pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
+def test_a_host_that_the_witnesses_cannot_reach_learns_from_others(hosts: int) -> None:
     fleet = make_fleet(hosts)
-    deaf = fleet.up()[-1]
-    fleet.cut = {(witness.name, deaf.name) for witness in fleet.up()[:3]}
+    isolated = fleet.up()[-1]
+    fleet.blocked_links = {(witness.name, isolated.name) for witness in fleet.up()[:3]}
     crash_upstreams(fleet)
-    fleet.run(KNOWN_SECONDS)
-    assert knows(fleet, deaf)
+    fleet.run(PROPAGATION_SECONDS)
+    assert is_quarantined_at(fleet, isolated)
 
 
-def test_a_host_that_stood_still_knows_soon_after() -> None:
-    fleet = make_fleet(SMALL)
-    frozen = fleet.up()[-1]
-    frozen.is_up = False
+def test_a_paused_host_learns_after_it_resumes() -> None:
+    fleet = make_fleet(SMALL_FLEET)
+    paused = fleet.up()[-1]
+    paused.is_up = False
     crash_upstreams(fleet)
     fleet.run(20.0)
-    frozen.is_up = True
-    fleet.run(KNOWN_SECONDS)
-    assert knows(fleet, frozen)
+    paused.is_up = True
+    fleet.run(PROPAGATION_SECONDS)
+    assert is_quarantined_at(fleet, paused)
 
 
-@pytest.mark.parametrize("hosts", [SMALL, LARGE])
-def test_a_release_is_known_everywhere(hosts: int) -> None:
+@pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
+def test_a_release_reaches_all_hosts(hosts: int) -> None:
     fleet = make_fleet(hosts)
     crash_upstreams(fleet)
-    fleet.run(KNOWN_SECONDS)
-    lifted = fleet.up()[4]
-    assert lifted.core.quarantine.lift(BAD, fleet.now)
-    fleet.tell_now(lifted)
-    fleet.run(KNOWN_SECONDS)
-    assert not any(knows(fleet, host) for host in fleet.up())
+    fleet.run(PROPAGATION_SECONDS)
+    lifting = fleet.up()[4]
+    assert lifting.core.quarantine.lift(BAD, fleet.now)
+    fleet.send_now(lifting)
+    fleet.run(PROPAGATION_SECONDS)
+    assert not any(is_quarantined_at(fleet, host) for host in fleet.up())
--- a/tests/host/test_rate_limits.py
+++ b/tests/host/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""The hosts of a fleet jointly keep to the rate limits of upstreams."""
+"""The hosts of a fleet together stay within the rate limits of upstreams."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.host.fleet import Fleet, FleetHost
 
 PROPAGATION_SECONDS = 3.0
-"""Time from the first answer with a limit until all hosts must keep to it."""
+"""Time from the first answer with a limit until all hosts must apply it."""
 
 WINDOW_SECONDS = 4.0
 EXCESS_FACTOR = 1.5
@@ -28,7 +28,7 @@
 """In a window, an upstream tolerates this factor of its rate plus these requests."""
 
 SMALL_FLEET, LARGE_FLEET = 8, 60
-"""Host counts below and above the number from which relays are used."""
+"""Host counts below and above the threshold for using relays."""
 
 STEP_SECONDS = 0.02
 ANSWER_SECONDS = 0.1
@@ -49,7 +49,7 @@
         default_factory=lambda: defaultdict(list)
     )
     refusals: list[Refused] = field(default_factory=list)
-    under_way: list[tuple[float, FleetHost, Assignment]] = field(default_factory=list)
+    in_flight: list[tuple[float, FleetHost, Assignment]] = field(default_factory=list)
     rng: random.Random = field(default_factory=lambda: random.Random(3))
     count: int = 0
 
@@ -78,12 +78,12 @@
             self.refusals.append(assigned)
             return
         self.sends[assigned.upstream].append(now)
-        self.under_way.append((now + ANSWER_SECONDS, host, assigned))
+        self.in_flight.append((now + ANSWER_SECONDS, host, assigned))
 
     def _answer(self) -> None:
         now = self.fleet.now
-        due = [item for item in self.under_way if item[0] <= now]
-        self.under_way = [item for item in self.under_way if item[0] > now]
+        due = [item for item in self.in_flight if item[0] <= now]
+        self.in_flight = [item for item in self.in_flight if item[0] > now]
         for _, host, assigned in due:
             rate = self.rates.get(assigned.upstream)
             head = AnswerHead(
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("hosts", [SMALL_FLEET, LARGE_FLEET])
-def test_restarted_hosts_keep_to_a_rate_limit(hosts: int) -> None:
+def test_restarted_hosts_stay_within_a_rate_limit(hosts: int) -> None:
     traffic = make_traffic(hosts)
     limited = upstreams_of(traffic.fleet)[0]
     traffic.rates[limited] = 1.0
--- a/tests/host/test_suspension.py
+++ b/tests/host/test_suspension.py
@@ -1,11 +1,10 @@
-"""A host whose machine was suspended trusts nothing that it slept through.
-
-What users said: a machine may be suspended for seconds, and the steady clock does not
-count that time. Every age was a difference on the steady clock, so after 20 s a list
-20 s old counted as fresh, a key that was taken away meanwhile opened, and a drain that
-had ended was still running. The cause was twofold: the clock, and that a host took no
-notice of the sleep, so it served by its beliefs until news happened to come.
-Evidence: with the clock alone mended, four of these tests still failed.
+"""A host whose machine was suspended does not serve by stale state.
+
+A machine may be suspended for seconds, which the monotonic clock does not count. With
+ages measured by that clock, after 20 s a list 20 s old counts as current, a revoked key
+is accepted, and a drain that has ended still runs. A clock that counts suspensions is
+not enough: a host that does not detect the suspension serves by its stale state until
+the next update happens to arrive.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from rudderpass.errors import PlatformError
 from rudderpass.exchange import UpstreamConnections
 from rudderpass.host import ExchangeHost
-from rudderpass.host._suspension import NewsSources, Waking
+from rudderpass.host._suspension import RefreshSources, SuspensionRecovery
 from tests.exchange.builders import make_core
 from tests.exchange.test_serve import wait_for
 from tests.host.test_host import Deployment, deployment, read_gauge
@@ -29,23 +28,23 @@
 
 __all__ = ["deployment"]
 
-SLEPT_SECONDS = 20.0
+SUSPENDED_SECONDS = 20.0
 
 Suspend = Callable[..., None]
 
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Suspend:
-    """Suspend the machine: only the clock that counts such time goes on."""
+    """Simulate suspensions: only the clock that counts them advances."""
     real = time.clock_gettime
-    slept = 0.0
+    suspended_for = 0.0
 
     def read(clock: int) -> float:
-        return real(clock) + (slept if clock == time.CLOCK_BOOTTIME else 0.0)
+        return real(clock) + (suspended_for if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    def sleep(seconds: float = SLEPT_SECONDS) -> None:
-        nonlocal slept
-        slept += seconds
+    def sleep(seconds: float = SUSPENDED_SECONDS) -> None:
+        nonlocal suspended_for
+        suspended_for += seconds
 
     monkeypatch.setattr(time, "clock_gettime", read)
     return sleep
@@ -53,10 +52,10 @@
 
 @pytest.fixture
 def link(deployment: Deployment) -> Iterator[Proxy]:
-    """The way from a host to the store."""
-    made = Proxy(deployment.store.address)
-    yield made
-    made.close()
+    """A proxy between a host and the store."""
+    created = Proxy(deployment.store.address)
+    yield created
+    created.close()
 
 
 def start(deployment: Deployment, *seeds: str, store: str = "") -> ExchangeHost:
@@ -73,10 +72,10 @@
     host = start(deployment)
     deployment.store.status = 503
     suspend()
-    assert read_gauge(host, "list_age_seconds") > SLEPT_SECONDS - 1
+    assert read_gauge(host, "list_age_seconds") > SUSPENDED_SECONDS - 1
 
 
-def test_a_host_that_hears_the_store_again_serves_at_once(
+def test_a_host_that_reaches_the_store_serves_at_once(
     deployment: Deployment, suspend: Suspend
 ) -> None:
     host = start(deployment)
@@ -86,7 +85,7 @@
     assert time.monotonic() - began < 0.3
 
 
-def test_a_key_that_was_taken_away_meanwhile_opens_nothing(
+def test_a_key_revoked_during_the_suspension_is_rejected(
     deployment: Deployment, link: Proxy, suspend: Suspend
 ) -> None:
     host = start(deployment, store=link.address)
@@ -101,7 +100,7 @@
     assert deployment.ask(host) == 401
 
 
-def test_an_upstream_that_left_meanwhile_gets_no_work(
+def test_an_upstream_that_left_during_the_suspension_gets_no_requests(
     deployment: Deployment, link: Proxy, suspend: Suspend
 ) -> None:
     host = start(deployment, store=link.address)
@@ -117,7 +116,7 @@
     assert len(deployment.upstream.asked) == ran
 
 
-def test_a_host_is_not_ready_until_it_has_heard_anew(
+def test_a_host_is_not_ready_until_its_state_is_confirmed(
     deployment: Deployment, link: Proxy, suspend: Suspend
 ) -> None:
     host = start(deployment, store=link.address)
@@ -128,7 +127,7 @@
     wait_for(lambda: host.is_ready)
 
 
-def test_where_nobody_can_tell_a_host_goes_on_with_what_it_knew(
+def test_a_host_without_any_source_continues_with_its_old_state(
     deployment: Deployment, suspend: Suspend
 ) -> None:
     host = start(deployment)
@@ -139,25 +138,25 @@
     assert time.monotonic() - began < 3.0
 
 
-def test_a_peer_that_hears_the_store_is_enough(
+def test_a_peer_that_follows_the_store_is_enough(
     deployment: Deployment, suspend: Suspend
 ) -> None:
     served = start(deployment)
-    dead = StandInStore()
-    dead.status = 503
-    cut = start(deployment, served.peer_address, store=dead.address)
+    failed_store = StandInStore()
+    failed_store.status = 503
+    isolated = start(deployment, served.peer_address, store=failed_store.address)
     deployment.publish(2, "k2")
     suspend()
     statuses = set()
     until = time.monotonic() + 3.0
-    while deployment.ask(cut, key="k2") != 200:
-        statuses.add(deployment.ask(cut))
+    while deployment.ask(isolated, key="k2") != 200:
+        statuses.add(deployment.ask(isolated))
         assert time.monotonic() < until
-    assert 200 not in statuses, "the key was taken away"
-    dead.close()
+    assert 200 not in statuses, "the key was revoked"
+    failed_store.close()
 
 
-def test_a_host_waits_for_the_answers_of_peers_when_the_store_fails_at_once(
+def test_a_host_waits_for_peers_when_the_store_fails_at_once(
     suspend: Suspend,
 ) -> None:
     greeted: list[float] = []
@@ -166,19 +165,21 @@
         raise PlatformError("status 503")
 
     core = make_core()
-    sources = NewsSources(
+    sources = RefreshSources(
         read_store,
         lambda now: greeted.append(time.monotonic()),
         lambda now: time.monotonic() - greeted[0] > 0.1,
     )
-    waking = Waking(core, threading.RLock(), threading.Event(), sources)
+    recovery = SuspensionRecovery(core, threading.RLock(), threading.Event(), sources)
     suspend()
-    waking.look()
+    recovery.check()
     time.sleep(0.6)
     assert core.is_doubting
 
 
-def test_a_blink_changes_nothing(deployment: Deployment, suspend: Suspend) -> None:
+def test_a_short_suspension_has_no_effect(
+    deployment: Deployment, suspend: Suspend
+) -> None:
     host = start(deployment)
     deployment.store.status = 503
     suspend(0.1)
@@ -186,7 +187,7 @@
     assert deployment.ask(host) == 200
 
 
-def test_kept_connections_are_not_used_after_a_sleep(suspend: Suspend) -> None:
+def test_idle_connections_are_not_reused_after_a_suspension(suspend: Suspend) -> None:
     listener = Listener(lambda sock: None)
     connections = UpstreamConnections()
     first = connections.open(listener.address, True, 1.0)
--- a/tests/platform/test_settings_file.py
+++ b/tests/platform/test_settings_file.py
@@ -40,7 +40,7 @@
 
 def test_the_fields_are_read_and_unknown_ones_passed_over(tmp_path: Path) -> None:
     settings = read_settings_file(write(tmp_path, GOOD))
-    assert settings.front == "10.1.0.40:8227"
+    assert settings.listen == "10.1.0.40:8227"
     assert settings.ready == "10.1.0.40:8220"
     assert settings.peer == "10.1.0.40:7340"
     assert settings.seeds == ("10.1.0.41:7340", "10.2.0.29:7340")
@@ -118,7 +118,7 @@
     assert duties.reports_usage and duties.orders_upstreams
     assert duties.holding.is_fenced
     assert (duties.holding.lease, duties.holding.thaw_slack) == (3.0, 0.3)
-    assert (duties.window, duties.late) == (5.0, 10.0)
+    assert (duties.window, duties.report_delay) == (5.0, 10.0)
 
 
 def test_only_the_duties_that_are_named_are_done(tmp_path: Path) -> None:
