--- a/src/rudderpass/exchange/__init__.py
+++ b/src/rudderpass/exchange/__init__.py
@@ -33,16 +33,16 @@
     EventSplitter as EventSplitter,
 )
 from rudderpass.exchange._evidence import UpstreamEvidence as UpstreamEvidence
-from rudderpass.exchange._lines import (
-    log_leaving as log_leaving,
-    log_rate_limit as log_rate_limit,
-)
 from rudderpass.exchange._load import (
     Load as Load,
     LoadBook as LoadBook,
     Reading as Reading,
     ToldWork as ToldWork,
 )
+from rudderpass.exchange._logging import (
+    log_leaving as log_leaving,
+    log_rate_limit as log_rate_limit,
+)
 from rudderpass.exchange._news import RETELL_SECONDS as RETELL_SECONDS
 from rudderpass.exchange._prefixes import PrefixMemory as PrefixMemory
 from rudderpass.exchange._progress import (
--- a/src/rudderpass/exchange/_send.py
+++ b/src/rudderpass/exchange/_send.py
@@ -29,7 +29,7 @@
 from rudderpass.exchange._connections import UpstreamConnection
 from rudderpass.exchange._dialect import SendFacts
 from rudderpass.exchange._events import EventError
-from rudderpass.exchange._lines import log_leaving, log_pause, log_rate_limit
+from rudderpass.exchange._logging import log_leaving, log_pause, log_rate_limit
 from rudderpass.exchange._progress import Ending, Progress
 from rudderpass.exchange._request import AnswerHead, AnswerKind, HeadChange
 from rudderpass.learning import StreamSample
--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -11,7 +11,7 @@
 from rudderpass.exchange._answers import Passed, UpstreamFailed, pass_answer
 from rudderpass.exchange._assignment import Accepted, Assignment, RefusalReason, Refused
 from rudderpass.exchange._budget import RepeatDecision
-from rudderpass.exchange._lines import log_answer, log_attempt, log_choice
+from rudderpass.exchange._logging import log_answer, log_attempt, log_choice
 from rudderpass.exchange._progress import (
     Ending,
     ExchangeEnd,
