--- a/src/rudderpass/exchange/_send.py
+++ b/src/rudderpass/exchange/_send.py
@@ -15,7 +15,14 @@
     UpstreamError,
     UpstreamReplaced,
 )
-from rudderpass.exchange._answers import (
+from rudderpass.exchange._assignment import Accepted, Assignment
+from rudderpass.exchange._connections import UpstreamConnection
+from rudderpass.exchange._dialect import SendFacts
+from rudderpass.exchange._events import EventError
+from rudderpass.exchange._logging import log_leaving, log_pause, log_rate_limit
+from rudderpass.exchange._progress import Ending, Progress
+from rudderpass.exchange._request import AnswerHead, AnswerKind, HeadChange
+from rudderpass.exchange._responses import (
     Passed,
     UpstreamFailed,
     describe_error,
@@ -25,13 +32,6 @@
     pass_answer,
     read_body,
 )
-from rudderpass.exchange._assignment import Accepted, Assignment
-from rudderpass.exchange._connections import UpstreamConnection
-from rudderpass.exchange._dialect import SendFacts
-from rudderpass.exchange._events import EventError
-from rudderpass.exchange._logging import log_leaving, log_pause, log_rate_limit
-from rudderpass.exchange._progress import Ending, Progress
-from rudderpass.exchange._request import AnswerHead, AnswerKind, HeadChange
 from rudderpass.learning import StreamSample
 
 _LOST_POLL_SECONDS = 0.1
--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -8,7 +8,6 @@
 from rudderpass import _clock
 from rudderpass._ids import UpstreamId
 from rudderpass.errors import CallerGone, ConnectionCut, StaleConnection, UpstreamError
-from rudderpass.exchange._answers import Passed, UpstreamFailed, pass_answer
 from rudderpass.exchange._assignment import Accepted, Assignment, RefusalReason, Refused
 from rudderpass.exchange._budget import RepeatDecision
 from rudderpass.exchange._logging import log_answer, log_attempt, log_choice
@@ -20,6 +19,7 @@
     StartResponse,
 )
 from rudderpass.exchange._request import ExchangeRequest
+from rudderpass.exchange._responses import Passed, UpstreamFailed, pass_answer
 from rudderpass.exchange._send import Send
 from rudderpass.exchange._vetting import Vetting
 from rudderpass.streams import AttemptState, NextStep, decide_next, note_failure
--- a/src/rudderpass/exchange/_vetting.py
+++ b/src/rudderpass/exchange/_vetting.py
@@ -15,11 +15,11 @@
     UpstreamError,
 )
 from rudderpass.eventlog import log
-from rudderpass.exchange._answers import UpstreamFailed
 from rudderpass.exchange._assignment import Accepted, Assignment, RefusalReason, Refused
 from rudderpass.exchange._fingerprint import compute_fingerprint
 from rudderpass.exchange._progress import ExchangeParts
 from rudderpass.exchange._request import ExchangeRequest
+from rudderpass.exchange._responses import UpstreamFailed
 from rudderpass.quarantine import Crash, CutSend, Verdict, VerdictKind
 from rudderpass.webserver import CallerConnection
 
