--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -18,10 +18,10 @@
     Progress,
     StartResponse,
 )
+from rudderpass.exchange._quarantine_gate import Vetting
 from rudderpass.exchange._request import ExchangeRequest
 from rudderpass.exchange._responses import Passed, UpstreamFailed, pass_answer
 from rudderpass.exchange._send import Send
-from rudderpass.exchange._vetting import Vetting
 from rudderpass.streams import AttemptState, NextStep, decide_next, note_failure
 from rudderpass.webserver import CallerConnection
 
