--- a/tests/exchange/test_load.py
+++ b/tests/exchange/test_load.py
@@ -12,7 +12,7 @@
 import pytest
 
 from rudderpass.exchange import _choice, _placement
-from tests.exchange.load import EngineKind, Kind, LoadPlay, make_kind
+from tests.exchange.simulation import EngineKind, Kind, LoadPlay, make_kind
 
 SECONDS = 24.0
 
--- a/tests/exchange/test_overload.py
+++ b/tests/exchange/test_overload.py
@@ -8,7 +8,7 @@
 from rudderpass.exchange import Assignment, ExchangeCore, Load, RefusalReason, Refused
 from tests.directory.builders import make_route
 from tests.exchange.builders import accept, make_core, make_request, parts, take_peer
-from tests.exchange.load import EngineKind, LoadPlay, make_kind
+from tests.exchange.simulation import EngineKind, LoadPlay, make_kind
 
 PROMPT = parts(("own", 2000))
 
--- a/tests/exchange/test_slots.py
+++ b/tests/exchange/test_slots.py
@@ -27,7 +27,7 @@
 from rudderpass.exchange._slots import USUAL_HOLD_SECONDS, HoldTimes, SlotTerms
 from tests.directory.builders import make_route
 from tests.exchange.builders import assign, make_core, make_request, parts, take_peer
-from tests.exchange.load import EngineKind, LoadPlay, Tally, make_kind
+from tests.exchange.simulation import EngineKind, LoadPlay, Tally, make_kind
 
 SECONDS = 20.0
 ENGINE = EngineKind(step=0.0055, read_tokens=42_600.0, step_per_stream=29e-6, slots=64)
