--- a/tests/exchange/test_leaving.py
+++ b/tests/exchange/test_leaving.py
@@ -7,8 +7,8 @@
 from rudderpass.exchange import AnswerHead, AnswerKind
 from tests.directory.builders import make_route, upstream_end, upstream_record
 from tests.exchange.builders import assign, make_core, make_request
+from tests.exchange.harness import answer, raw
 from tests.exchange.test_serve import MakeWorld, make_world
-from tests.exchange.world import answer, raw
 
 __all__ = ["make_world"]
 
--- a/tests/exchange/test_poison.py
+++ b/tests/exchange/test_poison.py
@@ -22,8 +22,7 @@
 from rudderpass.quarantine import VerdictKind
 from tests.directory.builders import make_route, upstream_end
 from tests.exchange.builders import make_request
-from tests.exchange.test_serve import MakeWorld, make_world
-from tests.exchange.world import (
+from tests.exchange.harness import (
     Asked,
     Behaviour,
     Upstream,
@@ -34,6 +33,7 @@
     reset,
     stream,
 )
+from tests.exchange.test_serve import MakeWorld, make_world
 
 __all__ = ["make_world"]
 
--- a/tests/exchange/test_rate_limits.py
+++ b/tests/exchange/test_rate_limits.py
@@ -6,8 +6,8 @@
 from rudderpass.exchange import AnswerHead, AnswerKind, RateLimitNews, RateLimits
 from tests.directory.builders import make_route, upstream_end
 from tests.exchange.builders import assign, make_core, make_request
+from tests.exchange.harness import answer, raw
 from tests.exchange.test_serve import MakeWorld, make_world
-from tests.exchange.world import answer, raw
 
 __all__ = ["make_world"]
 
--- a/tests/exchange/test_retry_after.py
+++ b/tests/exchange/test_retry_after.py
@@ -16,8 +16,8 @@
 )
 from tests.directory.builders import make_route
 from tests.exchange.builders import accept, assign, make_core, make_request
+from tests.exchange.harness import answer, raw
 from tests.exchange.test_serve import MakeWorld, make_world
-from tests.exchange.world import answer, raw
 
 __all__ = ["make_world"]
 
--- a/tests/exchange/test_serve.py
+++ b/tests/exchange/test_serve.py
@@ -15,7 +15,7 @@
 from rudderpass.directory import ExchangeRoute, RouteKind
 from rudderpass.exchange import Ending, UpstreamConnection, UpstreamConnections
 from tests.directory.builders import make_route, upstream_end
-from tests.exchange.world import (
+from tests.exchange.harness import (
     TIMEOUT,
     Asked,
     Behaviour,
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -19,7 +19,7 @@
 from rudderpass.host import DutySettings, ExchangeHost, HostSettings
 from rudderpass.host._command import make_platform
 from rudderpass.platform import CONFIG_TOPIC, HOSTS_TOPIC, UPSTREAMS_TOPIC
-from tests.exchange.world import Asked, Upstream, answer
+from tests.exchange.harness import Asked, Upstream, answer
 from tests.platform.store import StandInStore
 
 TIMEOUT = 10.0
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tests.exchange.world import Asked, read_request
+from tests.exchange.harness import Asked, read_request
 from tests.listener import Listener
 
 SLOTS = 8
