--- a/src/rudderpass/exchange/_crashes.py
+++ b/src/rudderpass/exchange/_crashes.py
@@ -32,7 +32,7 @@
 
         An upstream that was about to leave closes its connections as planned.
         """
-        if self._directory.is_ending(cut.crash.upstream, now):
+        if self._directory.is_leaving_or_gone(cut.crash.upstream, now):
             return False
         self._quarantine.note_cut(cut, now)
         return True
--- a/tests/exchange/test_crash_check.py
+++ b/tests/exchange/test_crash_check.py
@@ -14,7 +14,7 @@
 from rudderpass.exchange._connections import CRASH_CHECK_TIMEOUT_SECONDS
 from rudderpass.exchange._crashes import CRASH_DISPROOF_SECONDS
 from rudderpass.quarantine import CutSend
-from tests.directory.builders import make_route, upstream_end
+from tests.directory.builders import make_route, upstream_tombstone
 from tests.exchange.builders import (
     accept,
     assign,
@@ -110,7 +110,7 @@
 def test_an_upstream_that_stays_listed_has_not_crashed() -> None:
     core = make_core(make_route())
     see_crash(core.quarantine, BAD, crash("u1", 0.0))
-    core.directory.take_upstreams([], 3, "store", CRASH_DISPROOF_SECONDS)
+    core.directory.apply_upstream_changes([], 3, "store", CRASH_DISPROOF_SECONDS)
     core.tick(CRASH_DISPROOF_SECONDS + 0.1)
     assert core.quarantine.judge(BAD, 10.1).crashes == 0
 
@@ -125,7 +125,7 @@
 def test_an_entry_that_is_removed_after_a_cut_shows_a_crash() -> None:
     core = make_core(make_route())
     assert core.crashes.record_cut(CutSend(BAD, None, crash("u1", 1.0)), 1.0)
-    core.directory.take_upstreams([upstream_end(5, 1)], 6, "store", 2.0)
+    core.directory.apply_upstream_changes([upstream_tombstone(5, 1)], 6, "store", 2.0)
     core.tick(4.5)
     assert core.quarantine.judge(BAD, 4.5).crashes == 1
 
@@ -134,9 +134,9 @@
 def test_leaving_and_removed_upstreams_are_ending(state: str) -> None:
     directory = fill_directory(leaving=state == "leaving")
     if state == "ended":
-        directory.take_upstreams([upstream_end(5, 1)], 6, "store", 1.0)
+        directory.apply_upstream_changes([upstream_tombstone(5, 1)], 6, "store", 1.0)
     upstream = UpstreamId("u9" if state == "unknown" else "u1")
-    assert directory.is_ending(upstream, 1.0) is (state != "serving")
+    assert directory.is_leaving_or_gone(upstream, 1.0) is (state != "serving")
 
 
 def test_a_suspect_is_sent_to_the_least_loaded_upstream() -> None:
--- a/tests/exchange/test_poison.py
+++ b/tests/exchange/test_poison.py
@@ -19,7 +19,7 @@
 from rudderpass.directory import ExchangeRoute, RouteKind
 from rudderpass.exchange._fingerprint import compute_fingerprint
 from rudderpass.quarantine import VerdictKind
-from tests.directory.builders import make_route, upstream_end
+from tests.directory.builders import make_route, upstream_tombstone
 from tests.exchange.builders import make_request
 from tests.exchange.harness import (
     Behaviour,
@@ -120,7 +120,9 @@
         upstream: FakeUpstream, connection: socket.socket, received: ReceivedRequest
     ) -> None:
         directory = harness.core.directory
-        directory.take_upstreams([upstream_end(9, 1)], 10, "store", _clock.now())
+        directory.apply_upstream_changes(
+            [upstream_tombstone(9, 1)], 10, "store", _clock.now()
+        )
         crash_on(FATAL, answer())(upstream, connection, received)
 
     harness.upstreams[0].behaviour = leave_and_crash
--- a/tests/exchange/test_serve.py
+++ b/tests/exchange/test_serve.py
@@ -18,7 +18,7 @@
     UpstreamConnection,
     UpstreamConnectionPool,
 )
-from tests.directory.builders import make_route, upstream_end
+from tests.directory.builders import make_route, upstream_tombstone
 from tests.exchange.harness import (
     TIMEOUT,
     Behaviour,
@@ -183,8 +183,8 @@
         timeout: float,
     ) -> UpstreamConnection:
         connection = original_open(connections, address, may_reuse, timeout)
-        left = [upstream_end(2, 1)]
-        harness.core.directory.take_upstreams(left, 3, "store", _clock.now())
+        left = [upstream_tombstone(2, 1)]
+        harness.core.directory.apply_upstream_changes(left, 3, "store", _clock.now())
         return connection
 
     monkeypatch.setattr(UpstreamConnectionPool, "open", open_then_leave)
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -15,7 +15,7 @@
 
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.exchange import BudgetRule
-from rudderpass.gossip import FollowRule, Mesh
+from rudderpass.gossip import FollowRule, PeerTable
 from rudderpass.host import DutySettings, ExchangeHost, HostSettings
 from rudderpass.host._command import make_platform
 from rudderpass.platform import CONFIG_TOPIC, HOSTS_TOPIC, UPSTREAMS_TOPIC
@@ -218,7 +218,7 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After an outage the first host that is answered informs the others."""
-    monkeypatch.setattr("rudderpass.gossip._mesh.BEHIND_SECONDS", 1000.0)
+    monkeypatch.setattr("rudderpass.gossip._peer_table.BEHIND_SECONDS", 1000.0)
     deployment.publish(1, "k1")
     deployment.register()
     dead = StandInStore()
@@ -322,10 +322,10 @@
     while True:
         with socket.create_server(("127.0.0.1", 0)) as probe:
             address = f"127.0.0.1:{probe.getsockname()[1]}"
-        mesh = Mesh(NodeId(address), random.Random(1))
+        mesh = PeerTable(NodeId(address), random.Random(1))
         mesh.add(NodeId(name) for name in names)
         rule = FollowRule(NodeId(address), mesh, started=0.0)
-        rule.note_acquainted()
+        rule.record_peers_listed()
         if not rule.should_follow(0.0):
             return address
 
@@ -334,7 +334,7 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # However long the machine takes, the host waits for a follower in this test.
-    monkeypatch.setattr("rudderpass.gossip._following.START_SECONDS", 60.0)
+    monkeypatch.setattr("rudderpass.gossip._store_following.START_SECONDS", 60.0)
     deployment.publish(1, "k1")
     deployment.register()
     first = deployment.start()
