--- a/src/rudderpass/exchange/__init__.py
+++ b/src/rudderpass/exchange/__init__.py
@@ -13,7 +13,6 @@
     RepeatDecision as RepeatDecision,
     SharedRetryBudget as SharedRetryBudget,
 )
-from rudderpass.exchange._busy import count_busy as count_busy
 from rudderpass.exchange._choice import (
     Choice as Choice,
     Knowledge as Knowledge,
@@ -69,3 +68,4 @@
     BrokenStream as BrokenStream,
     Exchange as Exchange,
 )
+from rudderpass.exchange._utilization import count_busy as count_busy
