--- a/src/rudderpass/exchange/_core.py
+++ b/src/rudderpass/exchange/_core.py
@@ -19,7 +19,6 @@
     Refused,
     SentPrompt,
 )
-from rudderpass.exchange._begun import BegunAnswers
 from rudderpass.exchange._budget import BudgetRule, RepeatDecision, SharedRetryBudget
 from rudderpass.exchange._caches import CacheBook
 from rudderpass.exchange._choice import Knowledge, choose_upstream, isolate_choice
@@ -31,6 +30,7 @@
 from rudderpass.exchange._prefixes import PrefixMemory
 from rudderpass.exchange._rate_limits import HostRank, RateLimits
 from rudderpass.exchange._request import AnswerHead, ExchangeRequest, HeadChange
+from rudderpass.exchange._response_order import BegunAnswers
 from rudderpass.exchange._slots import HoldTimes, SlotTerms
 from rudderpass.exchange._throttling import Throttling
 from rudderpass.exchange._weights import SERVICE_SECONDS
