--- a/src/rudderpass/exchange/_core.py
+++ b/src/rudderpass/exchange/_core.py
@@ -26,13 +26,13 @@
 from rudderpass.exchange._forecast import Forecasts
 from rudderpass.exchange._load import LoadBook, ToldWork, request_load
 from rudderpass.exchange._overload import find_return
-from rudderpass.exchange._patience import find_patience
 from rudderpass.exchange._prefixes import PrefixMemory
 from rudderpass.exchange._rate_limits import HostRank, RateLimits
 from rudderpass.exchange._request import AnswerHead, ExchangeRequest, HeadChange
 from rudderpass.exchange._response_order import BegunAnswers
 from rudderpass.exchange._slots import HoldTimes, SlotTerms
 from rudderpass.exchange._throttling import Throttling
+from rudderpass.exchange._timeouts import find_patience
 from rudderpass.exchange._weights import SERVICE_SECONDS
 from rudderpass.learning import StreamSample
 from rudderpass.quarantine import QuarantineBook
