--- a/src/rudderpass/exchange/__init__.py
+++ b/src/rudderpass/exchange/__init__.py
@@ -42,13 +42,13 @@
     Reading as Reading,
     ToldWork as ToldWork,
 )
-from rudderpass.exchange._news import RETELL_SECONDS as RETELL_SECONDS
 from rudderpass.exchange._prefixes import PrefixMemory as PrefixMemory
 from rudderpass.exchange._progress import (
     Ending as Ending,
     ExchangeEnd as ExchangeEnd,
     ExchangeParts as ExchangeParts,
 )
+from rudderpass.exchange._prompt_updates import RETELL_SECONDS as RETELL_SECONDS
 from rudderpass.exchange._rate_limits import (
     HostRank as HostRank,
     RateLimitNews as RateLimitNews,
--- a/src/rudderpass/exchange/_caches.py
+++ b/src/rudderpass/exchange/_caches.py
@@ -7,8 +7,8 @@
 from rudderpass._ids import UpstreamId
 from rudderpass.directory import Directory
 from rudderpass.exchange._assignment import SentPrompt
-from rudderpass.exchange._news import PromptNews
 from rudderpass.exchange._prefixes import PrefixMemory
+from rudderpass.exchange._prompt_updates import PromptNews
 from rudderpass.exchange._request import PromptPart
 
 
