--- a/src/rudderpass/exchange/__init__.py
+++ b/src/rudderpass/exchange/__init__.py
@@ -31,7 +31,7 @@
     EventError as EventError,
     EventSplitter as EventSplitter,
 )
-from rudderpass.exchange._evidence import UpstreamEvidence as UpstreamEvidence
+from rudderpass.exchange._health import UpstreamEvidence as UpstreamEvidence
 from rudderpass.exchange._lines import (
     log_leaving as log_leaving,
     log_rate_limit as log_rate_limit,
--- a/src/rudderpass/exchange/_choice.py
+++ b/src/rudderpass/exchange/_choice.py
@@ -14,7 +14,7 @@
 
 from rudderpass._ids import AvailabilityZone, Fingerprint, UpstreamId
 from rudderpass.directory import EngineTraits, RegisteredUpstream
-from rudderpass.exchange._evidence import UpstreamEvidence
+from rudderpass.exchange._health import UpstreamEvidence
 from rudderpass.exchange._load import Load
 from rudderpass.exchange._placement import (
     Demand,
--- a/tests/exchange/test_evidence.py
+++ b/tests/exchange/test_health.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rudderpass.exchange import UpstreamEvidence
-from rudderpass.exchange._evidence import LONGEST_RETRY_AFTER_SECONDS
+from rudderpass.exchange._health import LONGEST_RETRY_AFTER_SECONDS
 
 
 def test_one_failure_is_doubt_and_many_are_proof() -> None:
