--- a/src/rudderpass/exchange/_progress.py
+++ b/src/rudderpass/exchange/_progress.py
@@ -10,7 +10,7 @@
 from rudderpass import _clock
 from rudderpass._ids import PoolId, TeamId
 from rudderpass.exchange._assignment import Assignment
-from rudderpass.exchange._budget import RepeatDecision
+from rudderpass.exchange._budget import RetryDecision
 from rudderpass.exchange._connections import UpstreamConnectionPool
 from rudderpass.exchange._core import ExchangeCore
 from rudderpass.exchange._dialect import ExchangeDialect
@@ -79,7 +79,7 @@
     connections: UpstreamConnectionPool
     dialect: ExchangeDialect
     on_end: Callable[[ExchangeSummary], None]
-    on_retry: Callable[[PoolId, RepeatDecision], None]
+    on_retry: Callable[[PoolId, RetryDecision], None]
     initialized: threading.Event
     on_suspect_request: Callable[[], None] = lambda: None
     before_decision: Callable[[], None] = lambda: None
@@ -202,4 +202,4 @@
         """Record in the host's core that an upstream's response has started."""
         if not assigned.has_response_started:
             with self.context.lock:
-                self.context.core.note_answering(assigned, _clock.now())
+                self.context.core.record_response_start(assigned, _clock.now())
--- a/src/rudderpass/exchange/_send.py
+++ b/src/rudderpass/exchange/_send.py
@@ -124,7 +124,7 @@
             )
         except UpstreamError:
             with self._context.lock:
-                self._context.core.note_unreachable(self._assigned, _clock.now())
+                self._context.core.record_unreachable(self._assigned, _clock.now())
             raise
         return self._connection
 
@@ -194,7 +194,9 @@
             return
         core, lock = self._context.core, self._context.lock
         with lock:
-            timeout = core.patience(self._accepted, self._assigned, _clock.now())
+            timeout = core.response_start_timeout(
+                self._accepted, self._assigned, _clock.now()
+            )
         if timeout is None:
             return
         while timeout < self._time_left:
@@ -298,7 +300,7 @@
         pause = self._progress.longest_pause
         sample = StreamSample(self._assigned.upstream, pace, pause)
         with self._context.lock:
-            self._context.core.note_stream(sample, _clock.now())
+            self._context.core.record_stream(sample, _clock.now())
 
     def _read_chunk(self, response: http.client.HTTPResponse) -> bytes:
         try:
@@ -342,7 +344,7 @@
             return
         with self._context.lock:
             core = self._context.core
-            changes = core.note_head(self._assigned, head, _clock.now())
+            changes = core.record_head(self._assigned, head, _clock.now())
         if HeadChange.RATE_LIMIT in changes:
             log_rate_limit(self._assigned.upstream, head.rate_limit)
         if HeadChange.LEAVING in changes:
@@ -351,13 +353,13 @@
     def _record_refusal(self, error: UpstreamError) -> None:
         with self._context.lock:
             if isinstance(error, UpstreamReplaced):
-                self._context.core.note_replaced(self._assigned)
+                self._context.core.record_replaced(self._assigned)
             elif error.refused:
-                self._context.core.note_refused(self._assigned, _clock.now())
+                self._context.core.record_refusal(self._assigned, _clock.now())
 
     def _record_end(self, succeeded: bool | None) -> None:
         with self._context.lock:
-            self._context.core.note_end(self._assigned, succeeded, _clock.now())
+            self._context.core.record_end(self._assigned, succeeded, _clock.now())
 
     def _upstream_error(
         self, text: str, cause: BaseException | None = None
--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -9,7 +9,7 @@
 from rudderpass._ids import UpstreamId
 from rudderpass.errors import CallerGone, ConnectionCut, StaleConnection, UpstreamError
 from rudderpass.exchange._assignment import Accepted, Assignment, RefusalReason, Refused
-from rudderpass.exchange._budget import RepeatDecision
+from rudderpass.exchange._budget import RetryDecision
 from rudderpass.exchange._logging import log_attempt, log_choice, log_response
 from rudderpass.exchange._progress import (
     ExchangeContext,
@@ -215,9 +215,9 @@
             RefusalReason.NO_UPSTREAM, min(MAX_RETRY_AFTER_SECONDS, retry_after)
         )
 
-    def _spend_retry(self, accepted: Accepted, now: float) -> RepeatDecision:
+    def _spend_retry(self, accepted: Accepted, now: float) -> RetryDecision:
         with self._context.lock:
-            retry = self._context.core.take_repeat(accepted.service, now)
+            retry = self._context.core.spend_retry(accepted.service, now)
         self._context.on_retry(accepted.service, retry)
         return retry
 
--- a/tests/exchange/harness.py
+++ b/tests/exchange/harness.py
@@ -18,7 +18,7 @@
     ExchangeContext,
     ExchangeCore,
     ExchangeSummary,
-    RepeatDecision,
+    RetryDecision,
     UpstreamConnectionPool,
 )
 from rudderpass.platform import PlatformDialect
@@ -243,7 +243,7 @@
     ) -> None:
         self.upstreams = [FakeUpstream(behaviour) for behaviour in behaviours]
         self.summaries: list[ExchangeSummary] = []
-        self.retries: list[RepeatDecision] = []
+        self.retries: list[RetryDecision] = []
         self.initialized = threading.Event()
         self.initialized.set()
         addresses = [upstream.address for upstream in self.upstreams]
--- a/tests/exchange/simulation.py
+++ b/tests/exchange/simulation.py
@@ -23,7 +23,13 @@
 from rudderpass.exchange import Assignment, ExchangeCore, PartId, Refused
 from rudderpass.learning import StreamSample
 from tests.directory.builders import make_route
-from tests.exchange.builders import accept, make_core, make_request, parts, take_peer
+from tests.exchange.builders import (
+    accept,
+    make_core,
+    make_request,
+    parts,
+    receive_from_peer,
+)
 
 HEARTBEAT_SECONDS = 0.5
 HEARTBEAT_DELAY_SECONDS = 0.005
@@ -229,7 +235,7 @@
         if not stream.tokens:
             stream.first_token_after = now - stream.began
             self.cached_parts.update(stream.part_ids)
-            stream.core.note_answering(stream.assigned, now)
+            stream.core.record_response_start(stream.assigned, now)
         stream.tokens += 1
         if stream.tokens % self._profile.event_tokens:
             return
@@ -300,7 +306,7 @@
             for other in self._cores:
                 if other is not core:
                     name = NodeId(f"h{index}")
-                    take_peer(
+                    receive_from_peer(
                         other, name, loads, prompts, self._clock.now, streams, reading
                     )
 
@@ -352,8 +358,8 @@
         outcomes.crowded += engine.is_full and self._has_room()
         if not engine.start(stream):
             outcomes.refused += 1
-            core.note_refused(assigned, now)
-            core.note_end(assigned, None, now)
+            core.record_refusal(assigned, now)
+            core.record_end(assigned, None, now)
 
     def _has_room(self) -> bool:
         return any(
@@ -373,10 +379,10 @@
 
     def _end(self, stream: _Stream) -> None:
         now, workload = self._clock.now, stream.workload
-        stream.core.note_end(stream.assigned, True, now)
+        stream.core.record_end(stream.assigned, True, now)
         pace = sorted(stream.pauses)[len(stream.pauses) // 10]
         sample = StreamSample(stream.assigned.upstream, pace, max(stream.pauses))
-        stream.core.note_stream(sample, now)
+        stream.core.record_stream(sample, now)
         outcomes = self.outcomes[workload.route.name]
         if stream.first_token_after > workload.route.target_latency:
             outcomes.late_start += 1
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -16,7 +16,7 @@
 )
 from rudderpass.duties import DutyHolder, DutyNews, HostUsage, SettledUsage, WindowUsage
 from rudderpass.errors import PeerError
-from rudderpass.exchange import Load, Reading
+from rudderpass.exchange import Load, PrefillRate
 from rudderpass.gossip import (
     Digest,
     Heartbeat,
@@ -35,7 +35,9 @@
 
 
 def make_heartbeat(
-    load: Load, streams: tuple[StreamSample, ...] = (), reading: Reading | None = None
+    load: Load,
+    streams: tuple[StreamSample, ...] = (),
+    reading: PrefillRate | None = None,
 ) -> Heartbeat:
     rates = {} if reading is None else {POOL: reading}
     return Heartbeat(
@@ -47,20 +49,20 @@
     sent = make_heartbeat(
         Load(3, 4000, 1.5, (0, 2, 1), (0, 3072, 1024)),
         (StreamSample(UPSTREAM, 0.0167, 0.21),),
-        Reading(4000.0, 24_000.0),
+        PrefillRate(4000.0, 24_000.0),
     )
     assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
 
 
 def test_prefill_rates_that_round_to_zero_take_no_bytes() -> None:
-    with_none = encode_heartbeat(make_heartbeat(Load(1, 0, 0.0), (), Reading(0.2, 0.0)))
+    with_none = encode_heartbeat(make_heartbeat(Load(1, 0, 0.0), (), PrefillRate(0.2, 0.0)))
     assert with_none == encode_heartbeat(make_heartbeat(Load(1, 0, 0.0)))
 
 
 @pytest.mark.parametrize("tokens", [2**31, 10**30], ids=str)
 def test_absurd_loads_do_not_stop_the_heartbeats(tokens: int) -> None:
     sent = make_heartbeat(
-        Load(1, tokens, 0.0), (), Reading(float(tokens), float(tokens))
+        Load(1, tokens, 0.0), (), PrefillRate(float(tokens), float(tokens))
     )
     received = decode_heartbeat(encode_heartbeat(sent), SENDER)
     assert received.loads is not None
@@ -79,7 +81,7 @@
             AvailabilityZone("hall-b"): (),
         },
         {UPSTREAM: Load(40, 90_000, 7.25)},
-        {POOL: Reading(4000.0, 24_000.0)},
+        {POOL: PrefillRate(4000.0, 24_000.0)},
     )
     sent = Heartbeat(SENDER, 3, 9, False, None, (), (), number=4, digest=digest)
     assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
