--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -40,8 +40,8 @@
 )
 from rudderpass.errors import PlatformError
 from rudderpass.eventlog import log
-from rudderpass.exchange import ExchangeCore, count_busy
-from rudderpass.gossip import Beat, encode_duty_holder, encode_settled_usage
+from rudderpass.exchange import ExchangeCore, estimate_busy_upstreams
+from rudderpass.gossip import Heartbeat, encode_duty_holder, encode_settled_usage
 from rudderpass.host._duty_access import (
     HOLDER_KEY,
     USAGE_KEY,
@@ -149,7 +149,7 @@
             with self._lock:
                 self._counter.note_begun(team, moment)
 
-    def receive(self, heartbeat: Beat, now: float) -> None:
+    def receive(self, heartbeat: Heartbeat, now: float) -> None:
         """Apply a peer's heartbeat; call with the lock held."""
         if heartbeat.duty is not None:
             self._keeper.hear(heartbeat.duty, heartbeat.stopping, now)
@@ -201,11 +201,13 @@
         self, service: PoolId, traits: ScalingTraits, now: float
     ) -> ScaledService:
         if self._most_upstreams is not None:
-            most = min(traits.most, max(traits.least, self._most_upstreams))
-            traits = replace(traits, most=most)
+            most = min(
+                traits.max_upstreams, max(traits.min_upstreams, self._most_upstreams)
+            )
+            traits = replace(traits, max_upstreams=most)
         listed = self._core.directory.listed.values()
         upstreams = [r.entry for r in listed if r.entry.service == service]
-        busy = count_busy(self._core.loads, service, upstreams, now)
+        busy = estimate_busy_upstreams(self._core.loads, service, upstreams, now)
         return ScaledService(service, traits, upstreams, busy)
 
     def _start_thread(self) -> None:
--- a/src/rudderpass/host/_gossip_protocol.py
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -13,20 +13,20 @@
 from rudderpass.duties import DutyNews, HostUsage
 from rudderpass.exchange import (
     ExchangeCore,
-    RateLimitNews,
+    LoadReport,
+    RateLimitUpdate,
     SentPrompt,
-    ToldWork,
     log_leaving,
     log_rate_limit,
 )
 from rudderpass.gossip import (
-    NAMING_BEATS,
-    Beat,
+    HEARTBEATS_PER_PEER_SAMPLE,
     Digest,
+    Heartbeat,
     Member,
-    Mesh,
-    Relaying,
-    choose_server,
+    PeerTable,
+    RelayRole,
+    assign_relay,
 )
 from rudderpass.learning import StreamSample
 from rudderpass.quarantine import SuspectNews
@@ -50,7 +50,7 @@
 class Message:
     """A heartbeat and its recipients."""
 
-    heartbeat: Beat
+    heartbeat: Heartbeat
     targets: list[NodeId]
 
 
@@ -74,7 +74,7 @@
         zone: AvailabilityZone,
         link_mbps: int,
         core: ExchangeCore,
-        peer_table: Mesh,
+        peer_table: PeerTable,
         is_current: Callable[[float], bool],
         read_duty: Callable[[], DutyNews | None] = lambda: None,
     ) -> None:
@@ -85,7 +85,7 @@
         self._peer_table = peer_table
         self._is_current = is_current
         self._read_duty = read_duty
-        self._relaying = Relaying(own, zone, link_mbps, peer_table)
+        self._relaying = RelayRole(own, zone, link_mbps, peer_table)
         self._rng = random.Random(own)
         self._heartbeat_numbers: dict[NodeId, int] = {}
         self._heartbeat_number = 0
@@ -95,16 +95,16 @@
         """Whether this host is a relay, which aggregates the reports of its zone."""
         return self._relaying.is_relay
 
-    def make_greeting(self, now: float, is_relayed: bool) -> Beat:
+    def make_greeting(self, now: float, is_relayed: bool) -> Heartbeat:
         """Return a heartbeat for a peer that may not know this host."""
         return self._make_heartbeat(
             now,
             has_loads=not is_relayed,
             suspects=self._core.quarantine.describe_quarantined(now),
-            rate_limits=self._core.rate_limits.describe(now),
+            rate_limits=self._core.rate_limits.newest_updates(now),
         )
 
-    def make_usage_heartbeat(self, usage: HostUsage, now: float) -> Beat:
+    def make_usage_heartbeat(self, usage: HostUsage, now: float) -> Heartbeat:
         """Return a heartbeat for the hosts that collect counts for usage reports."""
         return self._make_heartbeat(now, has_loads=False, usage=usage)
 
@@ -119,21 +119,21 @@
             store; then it announces to all hosts at once that it is ahead of them.
         """
         self._heartbeat_number += 1
-        self._core.loads.note_told(self._heartbeat_number, now)
+        self._core.loads.record_sent_heartbeat(self._heartbeat_number, now)
         suspects = self._core.quarantine.tell(now)
-        rate_limits = self._core.rate_limits.tell(now)
+        rate_limits = self._core.rate_limits.due_updates(now)
         heartbeat = self._make_heartbeat(
             now,
             suspects=suspects,
             prompts=tuple(self._core.caches.drain()),
             streams=tuple(self._core.drain_streams()),
-            names_peers=self._heartbeat_number % NAMING_BEATS == 0,
+            names_peers=self._heartbeat_number % HEARTBEATS_PER_PEER_SAMPLE == 0,
             rate_limits=rate_limits,
         )
         if not is_relayed:
             self._core.loads.is_relay = self._relaying.is_relay = False
             return [Message(heartbeat, self._peer_table.targets(now))]
-        relays = self._relaying.choose(now)
+        relays = self._relaying.choose_zone_relays(now)
         self._core.loads.is_relay = self._relaying.is_relay
         messages = [
             Message(heartbeat, [relay for relay in relays if relay != self._own]),
@@ -143,33 +143,32 @@
             ),
         ]
         if self._relaying.is_relay:
-            self._relaying.take(True, heartbeat.prompts, heartbeat.streams, now)
+            self._relaying.enqueue(True, heartbeat.prompts, heartbeat.streams, now)
             messages += self._compose_digests(relays, suspects, rate_limits, now)
         return [message for message in messages if message.targets]
 
-    def receive(self, heartbeat: Beat, now: float) -> bool:
+    def receive(self, heartbeat: Heartbeat, now: float) -> bool:
         """Apply a peer's heartbeat; return whether the peer was not live before."""
-        is_new = self._peer_table.take_beat(heartbeat, now)
+        is_new = self._peer_table.receive_heartbeat(heartbeat, now)
         if heartbeat.loads is not None:
             self._heartbeat_numbers[heartbeat.sender] = heartbeat.number
-            self._core.take_work(
-                heartbeat.sender,
-                ToldWork(heartbeat.loads, heartbeat.reading),
+            self._core.record_peer_load(
+                heartbeat.sender,LoadReport(heartbeat.loads, heartbeat.reading),
                 heartbeat.zone,
                 now,
             )
-        self._core.take_news(heartbeat.prompts, heartbeat.streams, now)
+        self._core.record_peer_updates(heartbeat.prompts, heartbeat.streams, now)
         self._core.quarantine.take(heartbeat.suspects, self._relaying.is_relay, now)
-        for upstream, rate in self._core.rate_limits.take(heartbeat.rate_limits, now):
+        for upstream, rate in self._core.rate_limits.merge(heartbeat.rate_limits, now):
             log_rate_limit(upstream, rate, heartbeat.sender)
         for upstream in heartbeat.leaving:
-            if self._core.directory.note_leaving(upstream):
+            if self._core.directory.record_leaving(upstream):
                 log_leaving(upstream, heartbeat.sender)
         if heartbeat.digest is not None:
             self._receive_digest(heartbeat.digest, heartbeat.zone, now)
         if self._relaying.is_relay:
             is_own_zone = heartbeat.zone == self._zone
-            self._relaying.take(is_own_zone, heartbeat.prompts, heartbeat.streams, now)
+            self._relaying.enqueue(is_own_zone, heartbeat.prompts, heartbeat.streams, now)
         return is_new
 
     def remove_expired(self, now: float) -> None:
@@ -183,19 +182,19 @@
     def _receive_digest(
         self, digest: Digest, zone: AvailabilityZone | None, now: float
     ) -> None:
-        self._peer_table.take_digest(digest, now)
-        work = ToldWork(digest.loads, digest.reading)
-        if digest.is_whole and zone == self._zone:
+        self._peer_table.merge_digest(digest, now)
+        work = LoadReport(digest.loads, digest.reading)
+        if digest.covers_all_zones and zone == self._zone:
             number = digest.find_number(self._own, self._zone)
-            self._core.loads.take_whole(work, number, now)
-        elif not digest.is_whole and zone is not None and zone != self._zone:
-            self._core.loads.take_zone(zone, work, now)
+            self._core.loads.record_total(work, number, now)
+        elif not digest.covers_all_zones and zone is not None and zone != self._zone:
+            self._core.loads.record_zone(zone, work, now)
 
     def _presence_targets(
         self, relays: list[NodeId], has_store_update: bool, now: float
     ) -> list[NodeId]:
         """Return the hosts besides the relays to which this host announces itself."""
-        targets = self._peer_table.draw_silent(now)
+        targets = self._peer_table.sample_silent(now)
         if self._heartbeat_number % HEARTBEATS_PER_PRESENCE and not has_store_update:
             return targets
         if has_store_update or self._is_current(now) or self._holds_duties:
@@ -204,7 +203,7 @@
             hosts = [
                 host
                 for host in self._peer_table.live_in(self._zone, now)
-                if choose_server(host, relays) != self._own
+                if assign_relay(host, relays) != self._own
             ]
         else:
             hosts = []
@@ -220,7 +219,7 @@
         self,
         relays: list[NodeId],
         suspects: tuple[SuspectNews, ...],
-        rate_limits: tuple[RateLimitNews, ...],
+        rate_limits: tuple[RateLimitUpdate, ...],
         now: float,
     ) -> list[Message]:
         hosts = [
@@ -257,7 +256,7 @@
             rate_limits=rate_limits,
         )
         return [
-            Message(for_relays, self._relaying.choose_others(now)),
+            Message(for_relays, self._relaying.choose_remote_relays(now)),
             Message(for_zone, self._hosts_served(hosts, relays)),
         ]
 
@@ -270,7 +269,7 @@
         served = [
             host
             for host in hosts
-            if host not in relays and choose_server(host, relays) == self._own
+            if host not in relays and assign_relay(host, relays) == self._own
         ]
         self._rng.shuffle(served)
         return served
@@ -318,19 +317,19 @@
         has_loads: bool = True,
         suspects: tuple[SuspectNews, ...] = (),
         usage: HostUsage | None = None,
-        rate_limits: tuple[RateLimitNews, ...] = (),
-    ) -> Beat:
+        rate_limits: tuple[RateLimitUpdate, ...] = (),
+    ) -> Heartbeat:
         has_load_report = has_loads and digest is None
         directory = self._core.directory
         loads = self._core.loads
-        return Beat(
+        return Heartbeat(
             self._own,
             directory.config_offset,
             directory.upstreams_end,
             self._core.is_stopping,
             loads.own if has_load_report else None,
             prompts,
-            self._peer_table.named(now) if names_peers else (),
+            self._peer_table.sample_live(now) if names_peers else (),
             self._core.is_warm,
             self._is_current(now),
             streams,
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -14,17 +14,17 @@
 from rudderpass.directory import (
     Decoders,
     Directory,
-    Learned,
-    Reachability,
+    DirectoryChange,
+    ReachabilityChange,
     StoreFollower,
 )
 from rudderpass.eventlog import log, round_age
 from rudderpass.exchange import (
     ExchangeApp,
+    ExchangeContext,
     ExchangeCore,
     ExchangeDialect,
-    ExchangeParts,
-    UpstreamConnections,
+    UpstreamConnectionPool,
 )
 from rudderpass.host._admin import make_metrics_server, make_ready_server
 from rudderpass.host._duties import HostDuties
@@ -115,11 +115,11 @@
         )
         self._stopping = threading.Event()
         self._duties = self._make_duties()
-        self._connections = UpstreamConnections()
+        self._connections = UpstreamConnectionPool()
         self._metrics = HostMetrics(self._read_gauges, lambda: self._directory.unusable)
         self._informed = threading.Event()
         self._initialized = threading.Event()
-        parts = ExchangeParts(
+        parts = ExchangeContext(
             self._core,
             self._lock,
             self._connections,
@@ -164,7 +164,7 @@
             RefreshSources(
                 self._follower.read_now,
                 self._peers.greet_all,
-                self._peers.peer_table.has_informed,
+                self._peers.peer_table.has_configured_peer,
             ),
         )
         warmup = CacheWarmup(
@@ -291,7 +291,7 @@
         with self._lock:
             removed = self._core.tick(now)
         for entry in removed:
-            self._connections.forget(entry.address)
+            self._connections.discard(entry.address)
             log("upstream", f"{entry.upstream} was removed.", upstream=entry.upstream)
         self._connections.close_expired(now)
         if self._duties is not None:
@@ -329,7 +329,7 @@
             tracker.take(registered.quarantined, False, _clock.now())
         self._peers.add_peers(registered.hosts)
 
-    def _record_store_update(self, learned: list[Learned]) -> None:
+    def _record_store_update(self, learned: list[DirectoryChange]) -> None:
         """Apply a store update, and announce it to dependent hosts at once."""
         was_informed = self._informed.is_set()
         self._record_learned(learned)
@@ -337,18 +337,18 @@
             is_first = not was_informed and self._informed.is_set()
             self._peers.send_store_update(is_first, _clock.now())
 
-    def _record_learned(self, learned: list[Learned]) -> None:
+    def _record_learned(self, learned: list[DirectoryChange]) -> None:
         for change in learned:
             log(
                 "belief",
-                f"{change.what}, from {change.source}.",
+                f"{change.text}, from {change.source}.",
                 source=change.source,
                 offset=change.offset,
                 believed_for=change.believed_for,
             )
         if self._directory.is_complete:
             self._informed.set()
-            if not self._core.is_doubting:
+            if not self._core.is_stale:
                 self._initialized.set()
         config = self._directory.config
         if config is not None and learned:
@@ -359,7 +359,7 @@
                 int(limits.idle_timeout) + IDLE_MARGIN_SECONDS,
             )
 
-    def _record_reachability(self, change: Reachability) -> None:
+    def _record_reachability(self, change: ReachabilityChange) -> None:
         word = "regained" if change.is_reachable else "lost"
         log(
             "store",
@@ -373,8 +373,8 @@
     def _release_waiting_requests(self) -> None:
         """Release waiting requests if no live peer can provide a configuration."""
         with self._lock:
-            has_no_source = not self._peers.peer_table.has_informed(_clock.now())
-            if has_no_source and not self._core.is_doubting:
+            has_no_source = not self._peers.peer_table.has_configured_peer(_clock.now())
+            if has_no_source and not self._core.is_stale:
                 self._initialized.set()
 
     def _read_gauges(self) -> HostGauges:
@@ -386,7 +386,7 @@
                 config_version=0 if config is None else config.version,
                 config_offset=self._directory.config_offset,
                 upstreams=len(self._directory.listed),
-                upstreams_ending=self._directory.ending_count,
+                upstreams_ending=self._directory.expiring_count,
                 list_age_seconds=self._directory.list_age(_clock.now()),
                 live_peers=len(self._peers.peer_table.live(_clock.now())),
                 is_relay=self._peers.is_relay,
--- a/src/rudderpass/host/_metrics.py
+++ b/src/rudderpass/host/_metrics.py
@@ -11,7 +11,7 @@
 
 from rudderpass._ids import PoolId
 from rudderpass.errors import UnusableReason
-from rudderpass.exchange import Ending, ExchangeEnd, RepeatDecision
+from rudderpass.exchange import ExchangeOutcome, ExchangeSummary, RetryDecision
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -87,28 +87,27 @@
         self._gauges = gauges
         self._unusable = unusable
         self._lock = threading.Lock()
-        self._exchanges: Counter[tuple[str, str, Ending]] = Counter()
+        self._exchanges: Counter[tuple[str, str, ExchangeOutcome]] = Counter()
         self._sends: Counter[str] = Counter()
         self._late_pauses: Counter[str] = Counter()
         self._retries: Counter[tuple[PoolId, bool]] = Counter()
         self._first_response_times: dict[str, _LatencyHistogram] = {}
         self._exchange_times: dict[str, _LatencyHistogram] = {}
 
-    def record(self, end: ExchangeEnd) -> None:
+    def record(self, end: ExchangeSummary) -> None:
         """Record a finished exchange."""
         with self._lock:
-            self._exchanges[end.route, end.team, end.ending] += 1
+            self._exchanges[end.route, end.team, end.outcome] += 1
             self._sends[end.route] += end.sends
             self._late_pauses[end.route] += end.late_pauses
             self._exchange_times.setdefault(end.route, _LatencyHistogram()).add(
-                end.whole
-            )
+                end.duration)
             if end.first_answer is not None:
                 self._first_response_times.setdefault(
                     end.route, _LatencyHistogram()
                 ).add(end.first_answer)
 
-    def record_retry(self, service: PoolId, retry: RepeatDecision) -> None:
+    def record_retry(self, service: PoolId, retry: RetryDecision) -> None:
         """Count a retry decision, allowed or not."""
         with self._lock:
             self._retries[service, retry.is_allowed] += 1
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -8,18 +8,23 @@
 
 from rudderpass import _clock
 from rudderpass._ids import AvailabilityZone, NodeId
-from rudderpass.directory import CURRENT_SECONDS, DirectoryState, Learned, StoreFollower
+from rudderpass.directory import (
+    STALE_AFTER_SECONDS,
+    DirectoryChange,
+    DirectoryState,
+    StoreFollower,
+)
 from rudderpass.duties import Surroundings
 from rudderpass.errors import PeerError
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore, SentPrompt
 from rudderpass.gossip import (
     CANDIDATE_SECONDS,
-    RELAY_FROM,
-    Beat,
+    MIN_HOSTS_FOR_RELAYS,
     FollowRule,
     GossipTransport,
-    Mesh,
+    Heartbeat,
+    PeerTable,
 )
 from rudderpass.host._duties import HostDuties
 from rudderpass.host._gossip_protocol import GossipProtocol
@@ -65,7 +70,7 @@
         seeds: Iterable[str],
         core: ExchangeCore,
         lock: threading.RLock,
-        on_learned: Callable[[list[Learned]], None],
+        on_learned: Callable[[list[DirectoryChange]], None],
         on_confirmed: Callable[[float], None],
     ) -> None:
         self._duties: HostDuties | None = None
@@ -90,7 +95,7 @@
         )
         own = self._transport.address
         self._rng = random.Random(own)
-        self._peer_table = Mesh(own, self._rng)
+        self._peer_table = PeerTable(own, self._rng)
         self._peer_table.add(NodeId(seed) for seed in seeds)
         self._follow_rule = FollowRule(own, self._peer_table, _clock.now())
         self._protocol = GossipProtocol(
@@ -109,7 +114,7 @@
         return self._transport.address
 
     @property
-    def peer_table(self) -> Mesh:
+    def peer_table(self) -> PeerTable:
         """This host's view of its peers; read it with the lock held."""
         return self._peer_table
 
@@ -142,7 +147,7 @@
         now = _clock.now()
         with self._lock:
             self._peer_table.add(peers)
-            self._follow_rule.note_acquainted()
+            self._follow_rule.record_peers_listed()
         self._greet_silent(now)
         self._update_following(now)
 
@@ -170,7 +175,7 @@
 
     def read_surroundings(self, now: float) -> Surroundings:
         """Return the host's view for the duties; call with the lock held."""
-        has_heard = self._follower is not None and self._follower.has_heard(
+        has_heard = self._follower is not None and self._follower.answered_within(
             now, CANDIDATE_SECONDS
         )
         is_candidate = has_heard and not self._core.is_stopping
@@ -232,7 +237,7 @@
             if usage is None:
                 return
             heartbeat = self._protocol.make_usage_heartbeat(usage, now)
-            targets = self._peer_table.gatherers(now)
+            targets = self._peer_table.usage_collectors(now)
         self._send_heartbeat(heartbeat, targets)
 
     @property
@@ -254,7 +259,7 @@
             holds_duties = self._duties is not None and self._duties.holds
             follows = self._follow_rule.should_follow(now) or holds_duties
             self._is_large = self._follow_rule.is_large(now)
-            self._is_relayed = self._follow_rule.count_hosts(now) >= RELAY_FROM
+            self._is_relayed = self._follow_rule.count_hosts(now) >= MIN_HOSTS_FOR_RELAYS
         if self._follower is None:
             return
         if follows is not self._follower.is_active:
@@ -269,9 +274,9 @@
             targets = self._peer_table.silent(now)
         self._send_heartbeat(heartbeat, targets)
 
-    def _send_heartbeat(self, heartbeat: Beat, targets: list[NodeId]) -> None:
+    def _send_heartbeat(self, heartbeat: Heartbeat, targets: list[NodeId]) -> None:
         try:
-            self._transport.tell(heartbeat, targets)
+            self._transport.send(heartbeat, targets)
         except PeerError as error:
             self._record_error(error)
 
@@ -282,8 +287,8 @@
         self._fetch_at = None
         with self._lock:
             offsets = self._directory.config_offset, self._directory.upstreams_end
-            follows = self._receives_store_updates and not self._core.is_doubting
-            peer = self._peer_table.ahead(*offsets, follows, now)
+            follows = self._receives_store_updates and not self._core.is_stale
+            peer = self._peer_table.choose_peer_ahead(*offsets, follows, now)
         if peer is None:
             return
         try:
@@ -293,10 +298,10 @@
             return
         with self._lock:
             source = f"peer {peer}"
-            learned = self._directory.take_state(state, source, _clock.now())
+            learned = self._directory.apply_state(state, source, _clock.now())
         self._on_learned(learned)
 
-    def _receive_heartbeat(self, heartbeat: Beat) -> None:
+    def _receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         now = _clock.now()
         with self._lock:
             is_new = self._protocol.receive(heartbeat, now)
@@ -306,15 +311,15 @@
                 self._protocol.make_greeting(now, self._is_relayed) if is_new else None
             )
             if heartbeat.following:
-                heard = now - CURRENT_SECONDS
-                self._directory.note_list_confirmed(heartbeat.upstreams_end, heard)
+                heard = now - STALE_AFTER_SECONDS
+                self._directory.record_list_confirmed(heartbeat.upstreams_end, heard)
             is_behind = (
                 heartbeat.config_offset > self._directory.config_offset
                 or heartbeat.upstreams_end > self._directory.upstreams_end
             )
             is_urgent = not (self._directory.is_complete and self._is_large)
-        if is_behind and (not self._receives_store_updates or self._core.is_doubting):
-            self._schedule_fetch(is_urgent or self._core.is_doubting, now)
+        if is_behind and (not self._receives_store_updates or self._core.is_stale):
+            self._schedule_fetch(is_urgent or self._core.is_stale, now)
         if heartbeat.following and not is_behind:
             self._on_confirmed(now)
         if greeting is not None:
--- a/src/rudderpass/host/_suspension.py
+++ b/src/rudderpass/host/_suspension.py
@@ -98,7 +98,7 @@
             return
         now = _clock.now()
         with self._lock:
-            self._core.doubt()
+            self._core.mark_stale()
             self._initialized.clear()
             self._resumed_at = now
         log(
@@ -110,12 +110,12 @@
 
     def record_peer_current(self, now: float) -> None:
         """Record that a peer that follows the store knows no more than this host."""
-        if self._core.is_doubting and now - self._resumed_at > STALE_DATAGRAM_SECONDS:
+        if self._core.is_stale and now - self._resumed_at > STALE_DATAGRAM_SECONDS:
             self._mark_current("a peer")
 
     def check_timeout(self, now: float) -> None:
         """Continue with the old state if it was not confirmed in time."""
-        if self._core.is_doubting and now - self._resumed_at > REFRESH_TIMEOUT_SECONDS:
+        if self._core.is_stale and now - self._resumed_at > REFRESH_TIMEOUT_SECONDS:
             self._mark_current("nobody")
 
     def _refresh(self) -> None:
@@ -138,9 +138,9 @@
 
     def _mark_current(self, source: str) -> None:
         with self._lock:
-            if not self._core.is_doubting:
+            if not self._core.is_stale:
                 return
-            self._core.trust()
+            self._core.mark_current()
             self._initialized.set()
             took = _clock.now() - self._resumed_at
         log("host", f"serves again, by {source}.", source=source, took=round(took, 3))
--- a/src/rudderpass/host/_warmup.py
+++ b/src/rudderpass/host/_warmup.py
@@ -20,7 +20,7 @@
 from rudderpass.errors import PeerError, UpstreamError
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore, PromptPart, SentPrompt
-from rudderpass.gossip import GossipTransport, Mesh
+from rudderpass.gossip import GossipTransport, PeerTable
 
 LISTEN_SECONDS = 0.6
 """Time for which a starting host listens before it chooses a peer to ask. A live peer
@@ -42,7 +42,7 @@
     """The parts of the host that the warm-up uses."""
 
     core: ExchangeCore
-    peer_table: Mesh
+    peer_table: PeerTable
     lock: threading.RLock
     transport: GossipTransport
     read_parts: PartsReader
@@ -83,7 +83,7 @@
 
     def _fetch_from_peer(self) -> bool:
         with self._parts.lock:
-            peer = self._parts.peer_table.warm_peer(_clock.now())
+            peer = self._parts.peer_table.choose_warm_peer(_clock.now())
         if peer is None:
             return False
         try:
@@ -96,7 +96,7 @@
             )
             return False
         with self._parts.lock:
-            self._parts.core.caches.take(prompts, _clock.now())
+            self._parts.core.caches.merge(prompts, _clock.now())
         log(
             "cache",
             f"cache contents fetched from {peer}.",
@@ -123,7 +123,7 @@
         if cached:
             with self._parts.lock:
                 prompt = SentPrompt(entry.upstream, cached)
-                self._parts.core.caches.share(prompt, _clock.now())
+                self._parts.core.caches.announce(prompt, _clock.now())
         log(
             "cache",
             f"{entry.upstream} has {len(cached)} prompt parts cached.",
--- a/tests/host/fleet.py
+++ b/tests/host/fleet.py
@@ -11,9 +11,9 @@
 
 from rudderpass._ids import AvailabilityZone, NodeId, RequestId
 from rudderpass.exchange import Assignment, ExchangeCore, Load
-from rudderpass.gossip import RELAY_FROM, Beat, FollowRule, Mesh
-from rudderpass.gossip._codec import decode_beat, encode_beat
-from rudderpass.gossip._transport import MAX_DATAGRAM
+from rudderpass.gossip import MIN_HOSTS_FOR_RELAYS, FollowRule, Heartbeat, PeerTable
+from rudderpass.gossip._codec import decode_heartbeat, encode_heartbeat
+from rudderpass.gossip._transport import MAX_DATAGRAM_BYTES
 from rudderpass.host._gossip_protocol import GossipProtocol
 from tests.directory.builders import make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
@@ -31,7 +31,7 @@
         self.name = name
         self.link_mbps = link_mbps
         self.zone = zone
-        self.peer_table = Mesh(name, random.Random(name))
+        self.peer_table = PeerTable(name, random.Random(name))
         self.core: ExchangeCore = make_core(
             make_route(), upstreams=upstreams, rank_host=self.peer_table.rank_host
         )
@@ -42,7 +42,7 @@
         self.is_up = True
 
     def is_relayed(self, now: float) -> bool:
-        return self.rule.count_hosts(now) >= RELAY_FROM
+        return self.rule.count_hosts(now) >= MIN_HOSTS_FOR_RELAYS
 
 
 class Fleet:
@@ -134,7 +134,7 @@
 
     def _start(self, host: FleetHost) -> None:
         """Greet all hosts listed in the store, as a starting host does."""
-        data = encode_beat(
+        data = encode_heartbeat(
             host.protocol.make_greeting(self.now, host.is_relayed(self.now))
         )
         for target in host.peer_table.silent(self.now):
@@ -154,8 +154,8 @@
     def _send_heartbeats(self, host: FleetHost) -> None:
         messages = host.protocol.compose(self.now, host.is_relayed(self.now))
         for message in messages:
-            data = encode_beat(message.heartbeat)
-            assert len(data) <= MAX_DATAGRAM
+            data = encode_heartbeat(message.heartbeat)
+            assert len(data) <= MAX_DATAGRAM_BYTES
             for target in message.targets:
                 self._deliver(host.name, target, data)
 
@@ -170,7 +170,7 @@
         if not host.is_up:
             return
         self.received[target] += 1
-        heartbeat: Beat = decode_beat(data, sender)
+        heartbeat: Heartbeat = decode_heartbeat(data, sender)
         if host.protocol.receive(heartbeat, self.now):
             greeting = host.protocol.make_greeting(self.now, host.is_relayed(self.now))
-            self._deliver(target, sender, encode_beat(greeting))
+            self._deliver(target, sender, encode_heartbeat(greeting))
--- a/tests/host/test_gossip_protocol.py
+++ b/tests/host/test_gossip_protocol.py
@@ -50,7 +50,7 @@
             u: load.unread_tokens for u, load in actual.items()
         }
     for host, assigned in sent:
-        host.core.note_end(assigned, True, fleet.now)
+        host.core.record_end(assigned, True, fleet.now)
         assert sum(x.running for x in known_loads(host, fleet.now).values()) < 2 * HOSTS
     fleet.run(1.5)
     assert all(not known_loads(host, fleet.now) for host in fleet.up())
@@ -192,7 +192,7 @@
     engine = UpstreamId("u1")
     for host in fleet.up():
         cached = parts(*((f"{rng.getrandbits(32):08x}", 3) for _ in range(300)))
-        host.core.caches.share(SentPrompt(engine, cached), fleet.now)
+        host.core.caches.announce(SentPrompt(engine, cached), fleet.now)
     fleet.run(8.0)
     for host in fleet.up():
         (known,) = host.core.caches.known()
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -15,11 +15,11 @@
 
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.exchange import BudgetRule
-from rudderpass.gossip import FollowRule, Mesh
+from rudderpass.gossip import FollowRule, PeerTable
 from rudderpass.host import DutySettings, ExchangeHost, HostSettings
 from rudderpass.host._command import make_platform
 from rudderpass.platform import CONFIG_TOPIC, HOSTS_TOPIC, UPSTREAMS_TOPIC
-from tests.exchange.world import Asked, Upstream, answer
+from tests.exchange.harness import FakeUpstream, ReceivedRequest, answer
 from tests.platform.store import StandInStore
 
 TIMEOUT = 10.0
@@ -83,7 +83,7 @@
 
     def __init__(self) -> None:
         self.store = StandInStore()
-        self.upstream = Upstream(answer())
+        self.upstream = FakeUpstream(answer())
         self.hosts: list[ExchangeHost] = []
 
     def publish(
@@ -218,7 +218,7 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After an outage, the first host that reaches the store updates the others."""
-    monkeypatch.setattr("rudderpass.gossip._mesh.BEHIND_SECONDS", 1000.0)
+    monkeypatch.setattr("rudderpass.gossip._peer_table.BEHIND_SECONDS", 1000.0)
     deployment.publish(1, "k1")
     deployment.register()
     failed_store = StandInStore()
@@ -241,24 +241,26 @@
 
 
 def test_a_starting_host_learns_cache_contents(deployment: Deployment) -> None:
-    def list_cached(upstream: Upstream, connection: object, asked: Asked) -> None:
+    def list_cached(
+        upstream: FakeUpstream, connection: object, asked: ReceivedRequest
+    ) -> None:
         body = json.dumps({"epoch": 1, "held": [["", "ab", 800, "m"]]}).encode()
         length = f"Content-Length: {len(body)}\r\n\r\n".encode()
         connection.sendall(b"HTTP/1.1 200 OK\r\n" + length + body)  # type: ignore
 
     deployment.upstream.close()
-    deployment.upstream = Upstream(list_cached)
+    deployment.upstream = FakeUpstream(list_cached)
     deployment.publish(1, "k1", engine=True)
     deployment.register()
     first = deployment.start()
     wait_for(lambda: first.is_warm)
-    assert [asked.line for asked in deployment.upstream.asked] == [
+    assert [asked.line for asked in deployment.upstream.received] == [
         "GET /-/kv-list HTTP/1.1"
     ]
     second = deployment.start(first.peer_address)
     wait_for(lambda: second.is_warm)
     assert (
-        len(deployment.upstream.asked) == 1
+        len(deployment.upstream.received) == 1
     ), "the second host fetched the contents from the first"
 
 
@@ -269,7 +271,7 @@
     deployment: Deployment, is_first_start: bool, allowed: str
 ) -> None:
     deployment.upstream.close()
-    deployment.upstream = Upstream(answer(b"no", "500 Error"))
+    deployment.upstream = FakeUpstream(answer(b"no", "500 Error"))
     deployment.publish(1, "k1")
     deployment.register()
     host = deployment.start(is_first_start=is_first_start)
@@ -280,21 +282,23 @@
 
 
 def test_a_shutdown_waits_for_requests_in_flight(deployment: Deployment) -> None:
-    def slow(upstream: Upstream, connection: object, asked: Asked) -> None:
+    def slow(
+        upstream: FakeUpstream, connection: object, asked: ReceivedRequest
+    ) -> None:
         time.sleep(0.4)
         answer()(upstream, connection, asked)  # type: ignore[arg-type]
 
     deployment.upstream.close()
-    deployment.upstream = Upstream(slow)
+    deployment.upstream = FakeUpstream(slow)
     deployment.publish(1, "k1")
     deployment.register()
     host = deployment.start(grace=3.0)
     wait_for(lambda: deployment.ask(host) == 200)
     statuses: list[int] = []
     caller = threading.Thread(target=lambda: statuses.append(deployment.ask(host)))
-    ran = len(deployment.upstream.asked)
+    ran = len(deployment.upstream.received)
     caller.start()
-    wait_for(lambda: len(deployment.upstream.asked) == ran + 1)
+    wait_for(lambda: len(deployment.upstream.received) == ran + 1)
     assert host.stop() == 0
     caller.join(TIMEOUT)
     assert statuses == [200]
@@ -320,10 +324,10 @@
     while True:
         with socket.create_server(("127.0.0.1", 0)) as probe:
             address = f"127.0.0.1:{probe.getsockname()[1]}"
-        peer_table = Mesh(NodeId(address), random.Random(1))
+        peer_table = PeerTable(NodeId(address), random.Random(1))
         peer_table.add(NodeId(name) for name in names)
         rule = FollowRule(NodeId(address), peer_table, started=0.0)
-        rule.note_acquainted()
+        rule.record_peers_listed()
         if not rule.should_follow(0.0):
             return address
 
@@ -332,7 +336,7 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # On a slow machine, too, the host must wait for a follower in this test.
-    monkeypatch.setattr("rudderpass.gossip._following.START_SECONDS", 60.0)
+    monkeypatch.setattr("rudderpass.gossip._store_following.START_SECONDS", 60.0)
     deployment.publish(1, "k1")
     deployment.register()
     first = deployment.start()
--- a/tests/host/test_quarantine.py
+++ b/tests/host/test_quarantine.py
@@ -12,7 +12,7 @@
 from rudderpass import _clock
 from rudderpass._ids import NodeId
 from rudderpass.cli import main
-from rudderpass.gossip import Beat
+from rudderpass.gossip import Heartbeat
 from rudderpass.host import ExchangeHost
 from rudderpass.platform import HOSTS_TOPIC
 from tests.exchange.test_serve import wait_for
@@ -140,14 +140,14 @@
     second = start(deployment, first.peer_address)
     wait_for(lambda: read_gauge(first, "live_peers") == 1)
     sent_at: list[float] = []
-    send = first._peers.transport.tell
+    send = first._peers.transport.send
 
-    def count(heartbeat: Beat, peers: Iterable[NodeId]) -> None:
+    def count(heartbeat: Heartbeat, peers: Iterable[NodeId]) -> None:
         if heartbeat.suspects:
             sent_at.append(time.monotonic())
         send(heartbeat, peers)
 
-    monkeypatch.setattr(first._peers.transport, "tell", count)
+    monkeypatch.setattr(first._peers.transport, "send", count)
     began = time.monotonic()
     record_three_crashes(first)
     for _ in range(20):
--- a/tests/host/test_suspension.py
+++ b/tests/host/test_suspension.py
@@ -16,7 +16,7 @@
 import pytest
 
 from rudderpass.errors import PlatformError
-from rudderpass.exchange import UpstreamConnections
+from rudderpass.exchange import UpstreamConnectionPool
 from rudderpass.host import ExchangeHost
 from rudderpass.host._suspension import RefreshSources, SuspensionRecovery
 from tests.exchange.builders import make_core
@@ -92,9 +92,9 @@
     link.set_fault(LinkFault.SILENT)
     deployment.publish(2, "k2")
     suspend()
-    ran = len(deployment.upstream.asked)
+    ran = len(deployment.upstream.received)
     assert deployment.ask(host) == 503
-    assert len(deployment.upstream.asked) == ran
+    assert len(deployment.upstream.received) == ran
     link.set_fault(LinkFault.NONE)
     wait_for(lambda: deployment.ask(host, key="k2") == 200)
     assert deployment.ask(host) == 401
@@ -107,13 +107,13 @@
     link.set_fault(LinkFault.SILENT)
     deployment.register("draining")
     suspend()
-    ran = len(deployment.upstream.asked)
+    ran = len(deployment.upstream.received)
     for _ in range(3):
         assert deployment.ask(host) == 503
     link.set_fault(LinkFault.NONE)
     wait_for(lambda: host.is_ready)
     assert deployment.ask(host) == 503
-    assert len(deployment.upstream.asked) == ran
+    assert len(deployment.upstream.received) == ran
 
 
 def test_a_host_is_not_ready_until_its_state_is_confirmed(
@@ -174,7 +174,7 @@
     suspend()
     recovery.check()
     time.sleep(0.6)
-    assert core.is_doubting
+    assert core.is_stale
 
 
 def test_a_short_suspension_has_no_effect(
@@ -189,11 +189,11 @@
 
 def test_idle_connections_are_not_reused_after_a_suspension(suspend: Suspend) -> None:
     listener = Listener(lambda sock: None)
-    connections = UpstreamConnections()
+    connections = UpstreamConnectionPool()
     first = connections.open(listener.address, True, 1.0)
-    connections.keep(first, 5.0)
+    connections.release(first, 5.0)
     assert connections.open(listener.address, True, 1.0).is_reused
-    connections.keep(first, 5.0)
+    connections.release(first, 5.0)
     suspend()
     assert not connections.open(listener.address, True, 1.0).is_reused
     connections.close()
