--- a/src/rudderpass/admission/__init__.py
+++ b/src/rudderpass/admission/__init__.py
@@ -5,4 +5,4 @@
     TeamLimiter as TeamLimiter,
 )
 from rudderpass.admission._queue import AdmissionQueue as AdmissionQueue
-from rudderpass.admission._work import Reservation as Reservation
+from rudderpass.admission._reservation import Reservation as Reservation
--- a/src/rudderpass/admission/_queue.py
+++ b/src/rudderpass/admission/_queue.py
@@ -16,7 +16,7 @@
 from sortedcontainers import SortedKeyList
 
 from rudderpass._ids import ClassName, RequestId, TeamId, UpstreamId
-from rudderpass.admission._work import Reservation
+from rudderpass.admission._reservation import Reservation
 
 _MAX_CREDIT_IN_COSTS = 4.0
 """Credit kept by a waiting class, in multiples of its oldest work's cost."""
