--- a/src/rudderpass/admission/__init__.py
+++ b/src/rudderpass/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: the order of service, team limits, and what is shed."""
+"""Admission: the order of service, team limits and load shedding."""
 
 from rudderpass.admission._limits import (
     LimitReached as LimitReached,
--- a/src/rudderpass/admission/_limits.py
+++ b/src/rudderpass/admission/_limits.py
@@ -1,4 +1,4 @@
-"""Limits of one team, as a share that one node may use of them."""
+"""Enforce one node's share of a team's limits."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from rudderpass.declarations import Limits
 
 _BURST_SECONDS = 2.0
-"""A bucket holds this many seconds of its rate."""
+"""Capacity of a token bucket, in seconds of its rate."""
 
 
 @dataclass(frozen=True)
 class LimitReached:
-    """Which limit a request met, and when to come back (seconds)."""
+    """The limit that a request exceeds, and the seconds after which to retry."""
 
     limit: str
     retry_after: float
 
 
 class _Bucket:
-    """A token bucket over a clock that the caller supplies."""
+    """A token bucket; the caller supplies the time."""
 
     def __init__(self, now: float) -> None:
         self._level: float | None = None
@@ -38,7 +38,7 @@
 
 
 class TeamLimiter:
-    """Counts one team's use on one node.
+    """Counts one team's usage on one node.
 
     The team's limits are divided by the number of live nodes; a node's share of
     ``concurrent`` is never below one.
@@ -50,7 +50,7 @@
         self._running = 0
 
     def admit(self, limits: Limits, nodes: int, now: float) -> LimitReached | None:
-        """Count one more request, or return the limit that forbids it."""
+        """Count one more request, or return the limit that it exceeds."""
         if limits.concurrent is not None:
             if self._running >= max(1, limits.concurrent // nodes):
                 return LimitReached("concurrent", 1.0)
@@ -69,7 +69,7 @@
         return None
 
     def finish(self, limits: Limits, nodes: int, tokens: int, now: float) -> None:
-        """Count a request's end and the tokens it used."""
+        """Count the end of a request and the tokens that it used."""
         self._running -= 1
         if limits.tokens_per_second is not None:
             self._tokens.refill(limits.tokens_per_second / nodes, now)
--- a/src/rudderpass/admission/_queue.py
+++ b/src/rudderpass/admission/_queue.py
@@ -1,11 +1,11 @@
 """The order of service in one pool.
 
-Tier first. Within a tier, work that can still start in time goes before work that
-is late already, because serving the late one first would only make both late. Then
-the class with the least slack to its target; within a class the team that was
-served least. Every class with waiting work also earns credit at its floor share,
-and its oldest work is served ahead of the order when the credit pays for it, so
-that no class starves.
+Reservations are ordered by tier. Within a tier, those that can still start in time
+go before those that are already late, because serving a late one first would only
+make both late. Next comes the class with the least slack to its target, and within a
+class the team that was served least. In addition, each class with waiting
+reservations earns credit at its floor share, and its oldest reservation is served
+ahead of this order once the credit covers its cost, so that no class starves.
 """
 
 from __future__ import annotations
@@ -18,49 +18,55 @@
 from rudderpass._ids import ClassName, RequestId, TeamId, UpstreamId
 from rudderpass.admission._reservation import Reservation
 
-_MAX_CREDIT_IN_COSTS = 4.0
-"""Credit kept by a waiting class, in multiples of its oldest work's cost."""
+_MAX_CREDIT_COSTS = 4.0
+"""Cap on a waiting class's credit, in multiples of the served cost."""
 
-Lane = tuple[UpstreamId, ...]
+UpstreamSet = tuple[UpstreamId, ...]
 
 
-def _age_order(work: Reservation) -> tuple[bool, float, RequestId]:
-    return (not work.resumed, work.arrived, work.request_id)
+def _arrival_order(reservation: Reservation) -> tuple[bool, float, RequestId]:
+    return (not reservation.resumed, reservation.arrived, reservation.request_id)
 
 
 @dataclass
 class _TeamQueue:
-    """One team's waiting work in one class, a lane per set of upstreams."""
+    """One team's waiting reservations in one class, a subqueue per upstream set."""
 
     served: float = 0.0
-    lanes: dict[Lane, SortedKeyList] = field(default_factory=dict)
+    subqueues: dict[UpstreamSet, SortedKeyList] = field(default_factory=dict)
 
     def heads(self) -> list[Reservation]:
-        """Return the oldest work of each lane."""
-        return sorted((lane[0] for lane in self.lanes.values()), key=_age_order)
+        """Return the oldest reservation of each subqueue."""
+        return sorted(
+            (subqueue[0] for subqueue in self.subqueues.values()), key=_arrival_order
+        )
 
     def heads_in_time(self, now: float) -> list[Reservation]:
-        """Return, of each lane, the oldest work that can still start in time."""
-        found = (_oldest_in_time(lane, now) for lane in self.lanes.values())
-        return sorted((work for work in found if work is not None), key=_age_order)
+        """Return each subqueue's oldest reservation that can still start in time."""
+        found = (_oldest_in_time(subqueue, now) for subqueue in self.subqueues.values())
+        return sorted(
+            (reservation for reservation in found if reservation is not None),
+            key=_arrival_order,
+        )
 
 
-def _oldest_in_time(lane: SortedKeyList, now: float) -> Reservation | None:
-    """Return the first work of ``lane`` whose start is not overdue.
+def _oldest_in_time(subqueue: SortedKeyList, now: float) -> Reservation | None:
+    """Return the first reservation of ``subqueue`` whose start is not overdue.
 
-    All work of a lane is of one class, so its start is due in order of arrival.
+    All reservations of a subqueue have one class, so their starts are due in order
+    of arrival.
     """
-    first: Reservation = lane[0]
+    first: Reservation = subqueue[0]
     if first.resumed or first.start_by >= now:
         return first
     due_since = now - first.start_target
-    position = lane.bisect_key_left((True, due_since, ""))
-    return lane[position] if position < len(lane) else None
+    position = subqueue.bisect_key_left((True, due_since, ""))
+    return subqueue[position] if position < len(subqueue) else None
 
 
 @dataclass
 class _ClassQueue:
-    """One class's waiting work."""
+    """One class's waiting reservations."""
 
     name: ClassName
     tier: int
@@ -73,7 +79,7 @@
 
     def oldest(self) -> Reservation:
         heads = (head for team in self.teams.values() for head in team.heads())
-        return min(heads, key=_age_order)
+        return min(heads, key=_arrival_order)
 
     def heads(self) -> Iterator[Reservation]:
         for team in self._teams_in_order():
@@ -81,7 +87,9 @@
 
     def heads_in_time(self, now: float) -> list[Reservation]:
         return [
-            work for team in self._teams_in_order() for work in team.heads_in_time(now)
+            reservation
+            for team in self._teams_in_order()
+            for reservation in team.heads_in_time(now)
         ]
 
     def _teams_in_order(self) -> list[_TeamQueue]:
@@ -90,7 +98,7 @@
 
 
 class AdmissionQueue:
-    """Waiting work of one pool, in the order in which it is to be served."""
+    """The waiting reservations of one pool, in the order of service."""
 
     def __init__(self) -> None:
         self._classes: dict[ClassName, _ClassQueue] = {}
@@ -103,80 +111,83 @@
         return request_id in self._waiting
 
     def get(self, request_id: RequestId) -> Reservation | None:
-        """Return waiting work by its request id."""
+        """Return a waiting reservation by its request id."""
         return self._waiting.get(request_id)
 
     def requests(self) -> tuple[Reservation, ...]:
-        """Return all waiting work, in no order of service."""
+        """Return all waiting reservations, not in the order of service."""
         return tuple(self._waiting.values())
 
-    def push(self, work: Reservation) -> None:
-        """Add work; work that already waits stays as it is."""
-        if work.request_id in self._waiting:
+    def push(self, reservation: Reservation) -> None:
+        """Add a reservation; one that already waits is unchanged."""
+        if reservation.request_id in self._waiting:
             return
-        self._waiting[work.request_id] = work
-        queue = self._class_of(work)
-        queue.tier = work.tier
-        queue.floor_share = work.floor_share
+        self._waiting[reservation.request_id] = reservation
+        queue = self._class_of(reservation)
+        queue.tier = reservation.tier
+        queue.floor_share = reservation.floor_share
         queue.count += 1
-        team = queue.teams.get(work.team)
+        team = queue.teams.get(reservation.team)
         if team is None:
-            served = queue.idle_served.pop(work.team, 0.0)
+            served = queue.idle_served.pop(reservation.team, 0.0)
             team = _TeamQueue(served=max(served, queue.least_served))
-            queue.teams[work.team] = team
-        lane = team.lanes.get(work.upstreams)
-        if lane is None:
-            lane = team.lanes[work.upstreams] = SortedKeyList(key=_age_order)
-        lane.add(work)
+            queue.teams[reservation.team] = team
+        subqueue = team.subqueues.get(reservation.upstreams)
+        if subqueue is None:
+            subqueue = team.subqueues[reservation.upstreams] = SortedKeyList(
+                key=_arrival_order
+            )
+        subqueue.add(reservation)
 
     def remove(self, request_id: RequestId) -> Reservation | None:
-        """Take work out without serving it."""
-        work = self._waiting.pop(request_id, None)
-        if work is None:
+        """Remove a reservation without serving it."""
+        reservation = self._waiting.pop(request_id, None)
+        if reservation is None:
             return None
-        queue = self._classes[work.service_class]
+        queue = self._classes[reservation.service_class]
         queue.count -= 1
-        team = queue.teams[work.team]
-        lane = team.lanes[work.upstreams]
-        lane.remove(work)
-        if not lane:
-            del team.lanes[work.upstreams]
-        if not team.lanes:
-            queue.idle_served[work.team] = team.served
-            del queue.teams[work.team]
+        team = queue.teams[reservation.team]
+        subqueue = team.subqueues[reservation.upstreams]
+        subqueue.remove(reservation)
+        if not subqueue:
+            del team.subqueues[reservation.upstreams]
+        if not team.subqueues:
+            queue.idle_served[reservation.team] = team.served
+            del queue.teams[reservation.team]
         if not queue.teams:
             queue.credit = 0.0
-        return work
+        return reservation
 
     def serve(self, request_id: RequestId) -> Reservation | None:
-        """Take work out because it is served now, and account for it."""
-        work = self._waiting.get(request_id)
-        if work is None:
+        """Remove a reservation that is served now, and account for its cost."""
+        reservation = self._waiting.get(request_id)
+        if reservation is None:
             return None
-        for other in self._classes.values():
-            if other.count:
-                limit = _MAX_CREDIT_IN_COSTS * work.cost
-                earned = other.credit + other.floor_share * work.cost
-                other.credit = min(earned, max(limit, other.credit))
-        queue = self._classes[work.service_class]
-        queue.credit = max(0.0, queue.credit - work.cost)
-        team = queue.teams[work.team]
+        for class_queue in self._classes.values():
+            if class_queue.count:
+                cap = _MAX_CREDIT_COSTS * reservation.cost
+                earned = class_queue.credit + class_queue.floor_share * reservation.cost
+                class_queue.credit = min(earned, max(cap, class_queue.credit))
+        queue = self._classes[reservation.service_class]
+        queue.credit = max(0.0, queue.credit - reservation.cost)
+        team = queue.teams[reservation.team]
         queue.least_served = max(
-            queue.least_served, min(each.served for each in queue.teams.values())
+            queue.least_served, min(waiting.served for waiting in queue.teams.values())
         )
-        team.served += work.cost
+        team.served += reservation.cost
         return self.remove(request_id)
 
     def in_order(self, now: float) -> Iterator[Reservation]:
-        """Yield the work that may be served next, best first.
+        """Yield the reservations that may be served next, best first.
 
-        A lane whose first work cannot be placed is of no more use, so only the
-        first of each lane is there, or the first in time and the first of all.
+        If the head of a subqueue cannot be placed, those behind it, which need the
+        same upstreams, are not tried. So only heads are yielded: of each subqueue
+        the first in time and the first of all.
         """
         queues = [queue for queue in self._classes.values() if queue.count]
-        due = [queue for queue in queues if self._floor_is_due(queue)]
-        due.sort(key=lambda queue: (-queue.credit, queue.tier, queue.name))
-        for queue in due:
+        with_credit = [queue for queue in queues if self._has_floor_credit(queue)]
+        with_credit.sort(key=lambda queue: (-queue.credit, queue.tier, queue.name))
+        for queue in with_credit:
             yield from queue.heads()
         for tier in sorted({queue.tier for queue in queues}):
             of_tier = [queue for queue in queues if queue.tier == tier]
@@ -184,50 +195,69 @@
 
     @staticmethod
     def _tier_in_order(queues: list[_ClassQueue], now: float) -> Iterator[Reservation]:
-        """Yield a tier's work, all that can be in time before all that is late."""
+        """Yield a tier's heads, those still in time before those that are late."""
         in_time = [(queue.heads_in_time(now), queue.name) for queue in queues]
         in_time = [(heads, name) for heads, name in in_time if heads]
-        in_time.sort(key=lambda item: (min(w.start_by for w in item[0]), item[1]))
+        in_time.sort(
+            key=lambda item: (
+                min(reservation.start_by for reservation in item[0]),
+                item[1],
+            )
+        )
         for heads, _ in in_time:
             yield from heads
-        for queue in sorted(queues, key=lambda each: each.oldest().start_by):
+        for queue in sorted(queues, key=lambda queue: queue.oldest().start_by):
             yield from queue.heads()
 
     def expired(self, now: float) -> tuple[Reservation, ...]:
-        """Return work that has waited longer than its class allows."""
-        return tuple(work for work in self._waiting.values() if work.expires <= now)
+        """Return the reservations that have waited longer than their class allows."""
+        return tuple(
+            reservation
+            for reservation in self._waiting.values()
+            if reservation.expires <= now
+        )
 
     def lowest_tier(self) -> int | None:
-        """Return the lowest tier (the largest number) that has waiting work."""
+        """Return the lowest tier (the largest number) with waiting reservations."""
         tiers = [queue.tier for queue in self._classes.values() if queue.count]
         return max(tiers, default=None)
 
-    def pick_shed(self) -> Reservation | None:
-        """Return the work to shed first: lowest tier, and newest within it."""
+    def shed_candidate(self) -> Reservation | None:
+        """Return the reservation to shed first: the newest of the lowest tier."""
         lowest = self.lowest_tier()
         if lowest is None:
             return None
-        candidates = (work for work in self._waiting.values() if work.tier == lowest)
+        candidates = (
+            reservation
+            for reservation in self._waiting.values()
+            if reservation.tier == lowest
+        )
         return max(
             candidates,
-            key=lambda work: (not work.resumed, work.arrived, work.request_id),
+            key=lambda reservation: (
+                not reservation.resumed,
+                reservation.arrived,
+                reservation.request_id,
+            ),
         )
 
-    def work_ahead(self, tier: int | None = None) -> float:
-        """Return the waiting work of ``tier`` and higher, or all, in tokens."""
+    def waiting_cost(self, tier: int | None = None) -> float:
+        """Return the cost waiting in ``tier`` and above, or in all tiers, in tokens."""
         return sum(
-            work.cost
-            for work in self._waiting.values()
-            if tier is None or work.tier <= tier
+            reservation.cost
+            for reservation in self._waiting.values()
+            if tier is None or reservation.tier <= tier
         )
 
-    def _class_of(self, work: Reservation) -> _ClassQueue:
-        queue = self._classes.get(work.service_class)
+    def _class_of(self, reservation: Reservation) -> _ClassQueue:
+        queue = self._classes.get(reservation.service_class)
         if queue is None:
-            queue = _ClassQueue(work.service_class, work.tier, work.floor_share)
-            self._classes[work.service_class] = queue
+            queue = _ClassQueue(
+                reservation.service_class, reservation.tier, reservation.floor_share
+            )
+            self._classes[reservation.service_class] = queue
         return queue
 
     @staticmethod
-    def _floor_is_due(queue: _ClassQueue) -> bool:
+    def _has_floor_credit(queue: _ClassQueue) -> bool:
         return queue.floor_share > 0 and queue.credit >= queue.oldest().cost
--- a/src/rudderpass/admission/_reservation.py
+++ b/src/rudderpass/admission/_reservation.py
@@ -1,4 +1,4 @@
-"""The unit that waits for admission."""
+"""Reservations: requests that wait for a slot."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True)
 class Reservation:
-    """One request's claim on a slot of a pool.
+    """One request's demand for a slot of a pool.
 
     :param arrived: when the caller's request arrived, in seconds on the clock of
         the node that holds this object.
-    :param start_target: seconds from arrival within which work should start.
-    :param max_wait: seconds from arrival after which nobody waits any more.
-    :param expected_tokens: estimated output tokens, the unit of work served.
+    :param start_target: seconds from arrival within which the request should start.
+    :param max_wait: seconds from arrival after which the request is refused.
+    :param expected_tokens: estimated output tokens, the unit of cost.
     :param prefix_hash: hash of the prompt's prefix, 0 if unknown.
-    :param upstreams: the upstreams that the selectors allow, sorted; none stands
-        for all of the pool.
+    :param upstreams: the upstreams that the selectors allow, sorted; empty for all
+        upstreams of the pool.
     :param floor_share: share of service guaranteed to the class.
-    :param gap_target: seconds between tokens that the class asks for, 0 for none.
+    :param gap_target: the class's target for seconds between tokens, 0 for none.
     :param resumed: whether the request already ran in part and lost its upstream.
 
     .. versionadded:: 0.1
@@ -51,15 +51,15 @@
 
     @property
     def start_by(self) -> float:
-        """When work should have started, on the same clock as ``arrived``."""
+        """When the request should have started, on the same clock as ``arrived``."""
         return self.arrived + self.start_target
 
     @property
     def expires(self) -> float:
-        """When the request gives up waiting, on the same clock as ``arrived``."""
+        """When the request stops waiting, on the same clock as ``arrived``."""
         return self.arrived + self.max_wait
 
     @property
     def cost(self) -> float:
-        """Work that serving the request takes, in tokens, never below one."""
+        """Estimated cost of serving the request, in tokens, never below one."""
         return max(1.0, self.expected_tokens)
--- a/src/rudderpass/bench/_slopes.py
+++ b/src/rudderpass/bench/_slopes.py
@@ -156,13 +156,13 @@
         self.by_id = {core.node: core for core in self.cores}
         tracemalloc.start()
         own = restore_snapshot(take_snapshot(state))
-        self.cores[0].take_hosts(hosts, 0.0)
-        self.cores[0].take_config(own, "bench", 0.0)
+        self.cores[0].set_hosts(hosts, 0.0)
+        self.cores[0].apply_config(own, "bench", 0.0)
         self.cost.state_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         for core in self.cores[1:]:
-            core.take_hosts(hosts, 0.0)
-            core.take_config(state, "bench", 0.0)
+            core.set_hosts(hosts, 0.0)
+            core.apply_config(state, "bench", 0.0)
         self.measured = self._pick_measured()
 
     def _pick_measured(self) -> NodeCore:
--- a/src/rudderpass/core/__init__.py
+++ b/src/rudderpass/core/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one node: a state machine over all slices."""
+"""The decisions of one node, as a state machine that combines all components."""
 
 from rudderpass.core._core import NodeCore as NodeCore
 from rudderpass.core._messages import (
--- a/src/rudderpass/core/_core.py
+++ b/src/rudderpass/core/_core.py
@@ -31,7 +31,7 @@
     StateRequest,
     Submission,
 )
-from rudderpass.core._pool_map import PoolAction, PoolBasis, PoolMap
+from rudderpass.core._pool_map import OwnershipInputs, PoolAction, PoolMap
 from rudderpass.declarations import (
     Catalog,
     ConfigState,
@@ -44,7 +44,7 @@
 from rudderpass.membership import HostRecord, MembershipView, Probe
 from rudderpass.pools import (
     Cancel,
-    EntryDesk,
+    EntryReservations,
     Grant,
     PoolOwner,
     Queued,
@@ -61,7 +61,7 @@
 
 @dataclass
 class _Request:
-    """What the core remembers of a request until it is finished."""
+    """What the core records of a request until it is finished."""
 
     team: TeamId
     service_class: ClassName
@@ -73,8 +73,8 @@
 
     :param node: this node's id.
     :param zone: this node's availability zone.
-    :param incarnation: differs at each start of the node.
-    :param rng: seeded by the caller, so that a run can be repeated.
+    :param incarnation: number that differs at each start of the node.
+    :param rng: seeded by the caller, so that runs are reproducible.
 
     .. versionadded:: 0.1
     """
@@ -91,14 +91,14 @@
         self._config = ConfigState()
         self._catalog = Catalog()
         self._view = MembershipView(node, zone, rng)
-        self._entry = EntryDesk(zone)
+        self._entry = EntryReservations(zone)
         self._pools = PoolMap(node, incarnation, self._view, self._entry)
         self._requests: dict[RequestId, _Request] = {}
         self._limiters: dict[TeamId, TeamLimiter] = {}
         self._lengths = LengthEstimator()
         self._leaving_upstreams: frozenset[UpstreamId] = frozenset()
         self._next_renew = 0.0
-        self._local: deque[tuple[NodeId, PeerMessage]] = deque()
+        self._local_messages: deque[tuple[NodeId, PeerMessage]] = deque()
 
     @property
     def node(self) -> NodeId:
@@ -117,12 +117,12 @@
 
     @property
     def view(self) -> MembershipView:
-        """This node's view of the others."""
+        """This node's view of the live nodes."""
         return self._view
 
     @property
-    def entry(self) -> EntryDesk:
-        """What this node's callers wait for and run."""
+    def entry(self) -> EntryReservations:
+        """The waiting and running requests of this node's callers."""
         return self._entry
 
     @property
@@ -132,15 +132,15 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the node may take callers."""
+        """Whether the node accepts callers."""
         return self._config.version > 0 and not self._view.leaving
 
     # Events from the platform.
 
-    def take_config(
+    def apply_config(
         self, state: ConfigState, source: str, now: float
     ) -> list[CoreAction]:
-        """Put a configuration in force unless a newer one already is."""
+        """Put a configuration in force if it is newer than the current one."""
         if state.version <= self._config.version:
             return []
         self._config = state
@@ -149,101 +149,115 @@
         actions: list[CoreAction] = [ConfigInForce(state.version, source)]
         for pool in self._entry.pools - set(self._catalog.pools):
             refused = self._entry.refuse_waiting(pool, "runner is no longer declared")
-            actions += self._run(refused, now)
+            actions += self._dispatch(refused, now)
         return [*actions, *self._update_owners(now)]
 
-    def take_hosts(self, hosts: Iterable[HostRecord], now: float) -> list[CoreAction]:
-        """Take the platform's list of the system's own hosts."""
-        self._view.note_listed(hosts)
+    def set_hosts(self, hosts: Iterable[HostRecord], now: float) -> list[CoreAction]:
+        """Replace the platform's list of the hosts that run this system."""
+        self._view.set_hosts(hosts)
         return self._update_owners(now)
 
-    def take_leaving_upstreams(
+    def set_leaving_upstreams(
         self, leaving: Iterable[UpstreamId], now: float
     ) -> list[CoreAction]:
-        """Give no new work to upstreams that the platform says are leaving."""
+        """Send no new requests to upstreams that the platform reports as leaving."""
         self._leaving_upstreams = frozenset(leaving)
         return self._update_owners(now)
 
     # Events from callers.
 
     def submit(self, submission: Submission, now: float) -> list[CoreAction]:
-        """Match a request to its class, route and pool, and ask for a slot."""
+        """Match a request to its class, route and pool, and request a slot."""
         rejected = self._check_ready(submission)
         if rejected is not None:
             return [rejected]
         matched = match_submission(self._catalog, submission)
         if isinstance(matched, Rejected):
             return [matched]
-        limited = self._apply_limits(matched, submission, now)
-        if limited is not None:
-            return [limited]
+        limit_rejection = self._apply_limits(matched, submission, now)
+        if limit_rejection is not None:
+            return [limit_rejection]
         route = matched.route
         self._requests[submission.request_id] = _Request(
-            submission.team, matched.name, route.route
+            submission.team, matched.class_name, route.route
+        )
+        expected = self._lengths.expect(
+            matched.class_name, route.route, submission.produced
         )
-        expected = self._lengths.expect(matched.name, route.route, submission.produced)
         reservation = make_reservation(matched, submission, expected, self._zone, now)
         admitted = Admitted(
             submission.request_id,
-            matched.name,
+            matched.class_name,
             matched.service_class.tier,
             route.route,
             route.pool,
             route.repeatable,
         )
         owner = self._pools.owner_of(route.pool)
-        return [admitted, *self._run(self._entry.submit(reservation, owner, now), now)]
+        return [
+            admitted,
+            *self._dispatch(self._entry.submit(reservation, owner, now), now),
+        ]
 
     def finish(
         self, request_id: RequestId, usage: Usage, now: float
     ) -> list[CoreAction]:
-        """Give back what a request holds, whether it ran or not."""
-        self._forget(request_id, usage, now)
-        return self._run(self._entry.finish(request_id, usage), now)
+        """Release what a request holds, whether it ran or not."""
+        self._close_request(request_id, usage, now)
+        return self._dispatch(self._entry.finish(request_id, usage), now)
 
-    def note_progress(self, request_id: RequestId, tokens: int) -> None:
-        """Remember how many tokens a running request has brought so far."""
-        self._entry.note_progress(request_id, tokens)
+    def record_progress(self, request_id: RequestId, tokens: int) -> None:
+        """Record how many tokens a running request has produced so far."""
+        self._entry.record_progress(request_id, tokens)
 
     def shed_lowest(self, reason: str, now: float) -> list[CoreAction]:
         """Refuse the newest waiting request of the lowest tier on this node."""
-        work = self._entry.lowest_waiting()
-        if work is None:
+        reservation = self._entry.shed_candidate()
+        if reservation is None:
             return []
-        refused = Refused(work.request_id, reason, 1.0)
-        return [refused, *self.finish(work.request_id, Usage(Ending.UNUSED), now)]
+        refused = Refused(reservation.request_id, reason, 1.0)
+        return [
+            refused,
+            *self.finish(reservation.request_id, Usage(Ending.UNUSED), now),
+        ]
 
     # Events from peers.
 
     def receive(
         self, sender: NodeId, message: PeerMessage, now: float
     ) -> list[CoreAction]:
-        """Take a peer's message."""
-        news = self._view.note_heard(sender, now)
-        actions = self._update_owners(now) if news else []
-        return [*actions, *_receive(message, self, sender, now), *self._drain(now)]
-
-    def note_unreachable(self, peer: NodeId, now: float) -> list[CoreAction]:
-        """Take a failed call to a peer as evidence against it."""
-        if not self._view.note_failure(peer, now):
+        """Handle a message from a peer."""
+        changed = self._view.record_contact(sender, now)
+        actions = self._update_owners(now) if changed else []
+        return [
+            *actions,
+            *_receive(message, self, sender, now),
+            *self._deliver_local(now),
+        ]
+
+    def record_unreachable(self, peer: NodeId, now: float) -> list[CoreAction]:
+        """Suspect a peer after a failed call to it."""
+        if not self._view.record_failure(peer, now):
             return []
         return self._update_owners(now)
 
-    def note_reachable(self, peer: NodeId, now: float) -> list[CoreAction]:
-        """Take an answered call to a peer as a sign of life."""
-        if not self._view.note_heard(peer, now):
+    def record_reachable(self, peer: NodeId, now: float) -> list[CoreAction]:
+        """Clear suspicion of a peer after an answered call to it."""
+        if not self._view.record_contact(peer, now):
             return []
         return self._update_owners(now)
 
     def leave(self, now: float) -> list[CoreAction]:
-        """Begin to stop: hand the pools over and tell all peers."""
-        self._view.note_leaving()
+        """Begin to shut down: hand the pools over and notify all peers."""
+        self._view.begin_leaving()
         probe = self._view.make_probe(self._config.version, now)
-        told: list[CoreAction] = [SendPeer(peer, probe) for peer in self._view.peers()]
-        return [*told, *self._update_owners(now)]
+        notices: list[CoreAction] = [
+            SendPeer(peer, probe) for peer in self._view.peers()
+        ]
+        return [*notices, *self._update_owners(now)]
 
     def tick(self, now: float) -> list[CoreAction]:
-        """Do what is due; to be called several times a second."""
+        """Run what is due; to be called several times a second."""
         actions: list[CoreAction] = []
         targets = self._view.probe_targets(now)
         if targets:
@@ -253,11 +267,11 @@
             self._next_renew = now + self._pools.renew_seconds
             actions += self._update_owners(now)
             for pool in self._entry.pools:
-                actions += self._run(self._entry.renew(pool), now)
-        actions += self._run(self._entry.ask_again(now), now)
-        return [*actions, *self._run(self._pools.tick(now), now)]
+                actions += self._dispatch(self._entry.renew(pool), now)
+        actions += self._dispatch(self._entry.retry_unanswered(now), now)
+        return [*actions, *self._dispatch(self._pools.tick(now), now)]
 
-    # Parts.
+    # Helpers.
 
     def _check_ready(self, submission: Submission) -> Rejected | None:
         request_id = submission.request_id
@@ -272,7 +286,7 @@
     def _apply_limits(
         self, matched: Matched, submission: Submission, now: float
     ) -> Rejected | None:
-        """Count a request against its team's limits; a further attempt is free."""
+        """Count a request against its team's limits, unless it is resumed."""
         limiter = self._limiters.setdefault(submission.team, TeamLimiter(now))
         limits = Limits() if submission.resumed else matched.team.limits
         nodes = max(1, len(self._view.live()))
@@ -285,12 +299,12 @@
         )
 
     def _update_owners(self, now: float) -> list[CoreAction]:
-        basis = PoolBasis(
+        inputs = OwnershipInputs(
             self._view.live(), self._config.version, self._leaving_upstreams
         )
-        return self._run(self._pools.update(self._catalog.pools, basis, now), now)
+        return self._dispatch(self._pools.update(self._catalog.pools, inputs, now), now)
 
-    def _forget(self, request_id: RequestId, usage: Usage, now: float) -> None:
+    def _close_request(self, request_id: RequestId, usage: Usage, now: float) -> None:
         request = self._requests.pop(request_id, None)
         if request is None:
             return
@@ -302,14 +316,14 @@
         if usage.ending is Ending.COMPLETED and usage.tokens:
             self._lengths.record(request.service_class, request.route, usage.tokens)
 
-    def _run(
+    def _dispatch(
         self,
         produced: Iterable[PoolAction],
         now: float,
     ) -> list[CoreAction]:
-        """Turn the slices' actions into the node's, keeping local messages here."""
+        """Turn component actions into node actions, and deliver local messages."""
         actions = self._collect(produced, now)
-        return [*actions, *self._drain(now)]
+        return [*actions, *self._deliver_local(now)]
 
     def _collect(
         self,
@@ -320,21 +334,21 @@
         for action in produced:
             if isinstance(action, Send):
                 if action.peer == self._node:
-                    self._local.append((self._node, action.message))
+                    self._local_messages.append((self._node, action.message))
                 else:
                     actions.append(
                         SendPeer(action.peer, action.message, action.reliable)
                     )
                 continue
             if isinstance(action, Refused):
-                self._forget(action.request_id, Usage(Ending.UNUSED), now)
+                self._close_request(action.request_id, Usage(Ending.UNUSED), now)
             actions.append(action)
         return actions
 
-    def _drain(self, now: float) -> list[CoreAction]:
+    def _deliver_local(self, now: float) -> list[CoreAction]:
         actions: list[CoreAction] = []
-        while self._local:
-            sender, message = self._local.popleft()
+        while self._local_messages:
+            sender, message = self._local_messages.popleft()
             actions += _receive(message, self, sender, now)
         return actions
 
@@ -348,51 +362,51 @@
 
 @_receive.register
 def _(message: Reserve, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    owner = core._pools.own(message.reservation.pool, now)
+    owner = core._pools.get_or_create_owner(message.reservation.pool, now)
     return core._collect(owner.reserve(sender, message, now), now)
 
 
 @_receive.register
 def _(message: Cancel, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    owner = core._pools.own(message.pool, now)
+    owner = core._pools.get_or_create_owner(message.pool, now)
     return core._collect(owner.cancel(message, now), now)
 
 
 @_receive.register
 def _(message: Release, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    owner = core._pools.own(message.pool, now)
+    owner = core._pools.get_or_create_owner(message.pool, now)
     return core._collect(owner.release(message, now), now)
 
 
 @_receive.register
 def _(message: Renew, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    owner = core._pools.own(message.pool, now)
+    owner = core._pools.get_or_create_owner(message.pool, now)
     return core._collect(owner.renew(sender, message, now), now)
 
 
 @_receive.register
 def _(message: Grant, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    return core._collect(core._entry.grant(sender, message), now)
+    return core._collect(core._entry.receive_grant(sender, message), now)
 
 
 @_receive.register
 def _(message: Queued, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    return core._collect(core._entry.queued(message), now)
+    return core._collect(core._entry.receive_queued(message), now)
 
 
 @_receive.register
 def _(message: Shed, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    return core._collect(core._entry.shed(message), now)
+    return core._collect(core._entry.receive_shed(message), now)
 
 
 @_receive.register
 def _(message: Resend, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    return core._collect(core._entry.resend(sender, message), now)
+    return core._collect(core._entry.receive_resend(sender, message), now)
 
 
 @_receive.register
 def _(message: Probe, core: NodeCore, sender: NodeId, now: float) -> list[CoreAction]:
-    core._view.note_probe(sender, message, now)
+    core._view.receive_probe(sender, message, now)
     actions = core._update_owners(now)
     if message.config_version > core._config.version:
         actions.append(SendPeer(sender, StateRequest(core._config.version)))
@@ -416,4 +430,4 @@
     snapshot = parse_snapshot(message.state)
     if snapshot is None:
         return []
-    return core.take_config(restore_snapshot(snapshot), f"peer {sender}", now)
+    return core.apply_config(restore_snapshot(snapshot), f"peer {sender}", now)
--- a/src/rudderpass/core/_matching.py
+++ b/src/rudderpass/core/_matching.py
@@ -10,25 +10,27 @@
 from rudderpass.declarations import Catalog, ServiceClassSpec, TeamSpec
 from rudderpass.routing import RouteMatch, find_route
 
-_REASONS_SHOWN = 3
+_MAX_REASONS = 3
 _TYPICAL_GAP_SECONDS = 0.03
-_LEAST_START_SHARE = 0.1
-_DESK_WORK = 1.0
-"""Work of a desk's request, which makes no tokens."""
+_MIN_START_SHARE = 0.1
+"""Share of the start target that is left to wait, however long the answer."""
+
+_NON_MODEL_TOKENS = 1.0
+"""Cost of a request that names no model and so produces no tokens."""
 
 
 @dataclass(frozen=True)
 class Matched:
-    """What a submission was matched to."""
+    """The team, class and route of a submission."""
 
     team: TeamSpec
-    name: ClassName
+    class_name: ClassName
     service_class: ServiceClassSpec
     route: RouteMatch
 
 
 def match_submission(catalog: Catalog, submission: Submission) -> Matched | Rejected:
-    """Return what a submission matches, or why it matches nothing."""
+    """Return what a submission matches, or the rejection if it matches nothing."""
 
     def reject(kind: RefusalKind, text: str) -> Rejected:
         return Rejected(submission.request_id, kind, text)
@@ -47,18 +49,18 @@
     labels = {**team.labels, **submission.labels}
     route = find_route(catalog, submission.model, submission.path, labels)
     if route is None:
-        what = submission.model or submission.path
-        text = f"no route serves {what!r} with these labels"
+        requested = submission.model or submission.path
+        text = f"no route serves {requested!r} with these labels"
         return reject(RefusalKind.UNKNOWN_MODEL, text)
     if not route.upstreams:
-        return reject(RefusalKind.NO_UPSTREAM, _explain_none(route))
+        return reject(RefusalKind.NO_UPSTREAM, _explain_no_upstream(route))
     return Matched(team, name, service_class, route)
 
 
-def _explain_none(route: RouteMatch) -> str:
-    shown = route.ruled_out[:_REASONS_SHOWN]
-    why = "; ".join(f"{out.upstream} {out.reason}" for out in shown)
-    return f"no upstream matches the request's labels ({why})"
+def _explain_no_upstream(route: RouteMatch) -> str:
+    shown = route.ruled_out[:_MAX_REASONS]
+    reasons = "; ".join(f"{out.upstream} {out.reason}" for out in shown)
+    return f"no upstream matches the request's labels ({reasons})"
 
 
 def make_reservation(
@@ -70,12 +72,12 @@
 ) -> Reservation:
     """Return the reservation to send to the pool's owner."""
     if submission.model is None:
-        expected_tokens = _DESK_WORK
+        expected_tokens = _NON_MODEL_TOKENS
     spec = matched.service_class
     return Reservation(
         request_id=submission.request_id,
         pool=matched.route.pool,
-        service_class=matched.name,
+        service_class=matched.class_name,
         tier=spec.tier,
         team=submission.team,
         arrived=now if submission.arrived is None else submission.arrived,
@@ -83,7 +85,7 @@
         max_wait=spec.max_wait_seconds,
         expected_tokens=expected_tokens,
         prefix_hash=submission.prefix_hash,
-        upstreams=_upstreams_to_name(matched.route, submission.excluded),
+        upstreams=_allowed_upstreams(matched.route, submission.excluded),
         zone=zone,
         floor_share=spec.floor_share,
         gap_target=spec.targets.between_tokens_seconds or 0.0,
@@ -92,24 +94,25 @@
 
 
 def _start_target(spec: ServiceClassSpec, expected_tokens: float) -> float:
-    """Return within how many seconds work must start to meet its target.
+    """Return the seconds within which a request must start to meet its target.
 
-    A target for the whole answer leaves less time to wait, the longer it will run.
+    With a target for the whole answer, the time left to wait shrinks with the
+    expected length of the answer.
     """
     if spec.targets.first_token_seconds is not None:
         return spec.start_target
-    running = expected_tokens * _TYPICAL_GAP_SECONDS
-    return max(spec.start_target - running, spec.start_target * _LEAST_START_SHARE)
+    run_seconds = expected_tokens * _TYPICAL_GAP_SECONDS
+    return max(spec.start_target - run_seconds, spec.start_target * _MIN_START_SHARE)
 
 
-def _upstreams_to_name(
+def _allowed_upstreams(
     route: RouteMatch, excluded: tuple[UpstreamId, ...]
 ) -> tuple[UpstreamId, ...]:
-    """Return the upstreams to name; none stands for all of the pool.
+    """Return the allowed upstreams; empty for all upstreams of the pool.
 
-    When all have been tried, all may be tried again.
+    When all have been excluded, all may be tried again.
     """
-    kept = tuple(name for name in route.upstreams if name not in excluded)
-    if kept and len(kept) < len(route.upstreams):
-        return kept
+    remaining = tuple(name for name in route.upstreams if name not in excluded)
+    if remaining and len(remaining) < len(route.upstreams):
+        return remaining
     return route.upstreams if route.ruled_out else ()
--- a/src/rudderpass/core/_messages.py
+++ b/src/rudderpass/core/_messages.py
@@ -1,4 +1,4 @@
-"""What goes into a node's core, and the actions that come out of it."""
+"""The inputs of a node's core, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RefusalKind(Enum):
-    """Why a request cannot be served at all, as opposed to not now."""
+    """Why a request is rejected without being queued."""
 
     UNKNOWN_TEAM = "unknown_team"
     UNKNOWN_CLASS = "unknown_class"
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True)
 class Submission:
-    """One caller request as the core sees it.
+    """A caller's request, as passed to the core.
 
-    :param service_class: None takes the team's default class.
+    :param service_class: None for the team's default class.
     :param produced: tokens already streamed, when a broken stream is resumed.
     :param excluded: upstreams that must not be tried again.
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Admitted:
-    """An action: the request waits for a grant; this is what it was matched to."""
+    """An action: the request was matched and now waits for a grant."""
 
     request_id: RequestId
     service_class: ClassName
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class StateReply:
-    """A configuration snapshot, handed on by a peer."""
+    """A configuration snapshot sent by a peer."""
 
     config_version: int
     state: bytes
@@ -90,9 +90,9 @@
 
 @dataclass(frozen=True)
 class SendPeer:
-    """An action: pass a message to another node.
+    """An action: send a message to another node.
 
-    :param reliable: make sure that it arrives, or learn that it did not.
+    :param reliable: whether delivery is confirmed and a failure reported.
     """
 
     peer: NodeId
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class OwnerChanged:
-    """An action: record that a pool has another owner in this node's view."""
+    """An action: log that a pool has a new owner in this node's view."""
 
     pool: PoolId
     owner: NodeId
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True)
 class ConfigInForce:
-    """An action: record that a configuration version is in force here."""
+    """An action: log that a configuration version is in force here."""
 
     version: int
     source: str
--- a/src/rudderpass/core/_pool_map.py
+++ b/src/rudderpass/core/_pool_map.py
@@ -1,4 +1,4 @@
-"""Which node owns each pool, and the pools that this node owns."""
+"""The owner of each pool, and the pools that this node owns."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from rudderpass.declarations import UpstreamSpec
 from rudderpass.membership import MembershipView
 from rudderpass.pools import (
-    EntryDesk,
+    EntryReservations,
     Granted,
     PoolOwner,
     Refused,
@@ -19,15 +19,15 @@
     renew_interval,
 )
 
-_CAREFUL_BELOW_REACH = 0.5
-"""A node that reaches less of the others than this uses only that share of slots."""
+_MIN_SHARE_FOR_ALL_SLOTS = 0.5
+"""A node that reaches a smaller share of the nodes uses only that share of slots."""
 
 PoolAction = Send | Granted | Refused | RoutingDecision | OwnerChanged
 
 
 @dataclass(frozen=True)
-class PoolBasis:
-    """What the owners of all pools follow from."""
+class OwnershipInputs:
+    """The inputs that determine the owners of all pools."""
 
     live: tuple[NodeId, ...]
     version: int
@@ -35,24 +35,28 @@
 
 
 class PoolMap:
-    """Follows live nodes and declarations, and keeps what this node owns.
+    """Tracks the owner of each pool, and keeps the pools that this node owns.
 
     :param node: this node.
-    :param incarnation: distinguishes this start's grants from any other's.
-    :param view: this node's view of the others.
-    :param entry: told of each change of an owner.
+    :param incarnation: distinguishes grants of this start from those of other starts.
+    :param view: this node's view of the live nodes.
+    :param entry: notified of each change of an owner.
 
     .. versionadded:: 0.1
     """
 
     def __init__(
-        self, node: NodeId, incarnation: int, view: MembershipView, entry: EntryDesk
+        self,
+        node: NodeId,
+        incarnation: int,
+        view: MembershipView,
+        entry: EntryReservations,
     ) -> None:
         self._node = node
         self._incarnation = incarnation
         self._view = view
         self._entry = entry
-        self._basis: PoolBasis | None = None
+        self._inputs: OwnershipInputs | None = None
         self._pools: Mapping[PoolId, Mapping[UpstreamId, UpstreamSpec]] = {}
         self._owners: dict[PoolId, NodeId] = {}
         self._owned: dict[PoolId, PoolOwner] = {}
@@ -64,7 +68,7 @@
 
     @property
     def renew_seconds(self) -> float:
-        """How often entry nodes renew, in seconds."""
+        """Renewal interval of entry nodes, in seconds."""
         return renew_interval(len(self._view.live()))
 
     def owner_of(self, pool: PoolId) -> NodeId:
@@ -77,13 +81,13 @@
     def update(
         self,
         pools: Mapping[PoolId, Mapping[UpstreamId, UpstreamSpec]],
-        basis: PoolBasis,
+        inputs: OwnershipInputs,
         now: float,
     ) -> list[PoolAction]:
-        """Follow a change of live nodes, configuration or leaving upstreams."""
-        if basis == self._basis:
+        """Apply a change of live nodes, configuration or leaving upstreams."""
+        if inputs == self._inputs:
             return []
-        self._basis = basis
+        self._inputs = inputs
         self._pools = pools
         actions: list[PoolAction] = []
         for pool in pools:
@@ -91,17 +95,17 @@
             if self._owners.get(pool) != owner:
                 actions += self._change_owner(pool, owner)
             if owner == self._node:
-                self.own(pool, now)
+                self.get_or_create_owner(pool, now)
             if pool in self._owned:
                 self._set_upstreams(pool)
         for pool in set(self._owned) - set(pools):
             del self._owned[pool]
         return actions
 
-    def own(self, pool: PoolId, now: float) -> PoolOwner:
-        """Return this node's owner of a pool, a new one if it has none.
+    def get_or_create_owner(self, pool: PoolId, now: float) -> PoolOwner:
+        """Return this node's owner of a pool, created if it has none.
 
-        A node also owns what peers with another view ask it for.
+        A node also owns the pools that peers with a different view request from it.
         """
         owner = self._owned.get(pool)
         if owner is None:
@@ -110,7 +114,7 @@
         return owner
 
     def tick(self, now: float) -> list[PoolAction]:
-        """Let every owner do what is due."""
+        """Run what is due in every owner."""
         actions: list[PoolAction] = []
         for owner in self._owned.values():
             actions += owner.tick(now)
@@ -125,17 +129,17 @@
 
     def _set_upstreams(self, pool: PoolId) -> None:
         specs = self._pools.get(pool, {})
-        leaving = self._basis.leaving & set(specs) if self._basis else frozenset()
+        leaving = self._inputs.leaving & set(specs) if self._inputs else frozenset()
         self._owned[pool].set_upstreams(
-            specs, leaving, self._careful_share(), self.renew_seconds
+            specs, leaving, self._slot_share(), self.renew_seconds
         )
 
-    def _careful_share(self) -> float:
-        reach = self._view.reach()
-        return 1.0 if reach >= _CAREFUL_BELOW_REACH else reach
+    def _slot_share(self) -> float:
+        reachable_share = self._view.reachable_share()
+        return 1.0 if reachable_share >= _MIN_SHARE_FOR_ALL_SLOTS else reachable_share
 
     def _drop_idle(self) -> None:
-        """End ownership that only peers with another view asked for."""
+        """End ownership that only peers with a different view requested, once idle."""
         for pool, owner in list(self._owned.items()):
             if self._owners.get(pool) == self._node:
                 continue
--- a/src/rudderpass/membership/__init__.py
+++ b/src/rudderpass/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: live nodes from the platform's list and a node's own evidence."""
+"""Membership: live nodes, from the platform's host list and a node's own contacts."""
 
 from rudderpass.membership._view import (
     PROBE_SECONDS as PROBE_SECONDS,
--- a/src/rudderpass/membership/_ownership.py
+++ b/src/rudderpass/membership/_ownership.py
@@ -1,9 +1,9 @@
-"""Which node owns which key: rendezvous hashing with a bound on each node's keys.
+"""Assign keys to nodes: rendezvous hashing with a bound on each node's keys.
 
 Plain rendezvous hashing gives some node several times the average. Here each key
-goes to the first node of its preference order that is not full, so that no node has
-more than a quarter above the average. Nodes with the same view agree, and a node
-that goes or comes moves few keys besides its own.
+goes to the first node of its preference order that is below the bound, so that no
+node has more than a quarter above the average. Nodes with the same view compute the
+same owners, and a node that joins or leaves moves few keys besides its own.
 """
 
 from __future__ import annotations
@@ -17,11 +17,13 @@
 
 from rudderpass._ids import NodeId
 
-_SLACK = 1.25
-_PREFERRED = 12
-"""Nodes kept in a key's preference order; the chance that all are full is small."""
+_MAX_LOAD_FACTOR = 1.25
+"""Bound on a node's keys, as a multiple of the average."""
 
-Weighted = tuple[int, NodeId]
+_PREFERENCE_LENGTH = 12
+"""Length of a key's preference order; it is unlikely that all are at the bound."""
+
+WeightedNode = tuple[int, NodeId]
 
 
 class Ownership:
@@ -33,11 +35,11 @@
     def __init__(self) -> None:
         self._keys: tuple[str, ...] = ()
         self._nodes: tuple[NodeId, ...] = ()
-        self._preferences: dict[str, list[Weighted]] = {}
+        self._preferences: dict[str, list[WeightedNode]] = {}
         self._owners: dict[str, NodeId] | None = None
 
     def set_keys(self, keys: Iterable[str]) -> None:
-        """Set the keys that are spread."""
+        """Set the keys to be distributed over the nodes."""
         ordered = tuple(sorted(keys, key=_hash_key))
         if ordered == self._keys:
             return
@@ -50,7 +52,7 @@
     def owner_of(self, key: str, nodes: tuple[NodeId, ...]) -> NodeId:
         """Return the owner of ``key`` among ``nodes``, which must not be empty."""
         if nodes is not self._nodes:
-            self._change_nodes(nodes)
+            self._set_nodes(nodes)
         if self._owners is None:
             self._owners = self._assign()
         owner = self._owners.get(key)
@@ -58,54 +60,56 @@
             return max(nodes, key=lambda node: (_weight(node, key), node))
         return owner
 
-    def _change_nodes(self, nodes: tuple[NodeId, ...]) -> None:
-        gone = set(self._nodes) - set(nodes)
-        come = set(nodes) - set(self._nodes)
+    def _set_nodes(self, nodes: tuple[NodeId, ...]) -> None:
+        removed = set(self._nodes) - set(nodes)
+        added = set(nodes) - set(self._nodes)
         self._nodes = nodes
-        if not gone and not come:
+        if not removed and not added:
             return
         self._owners = None
         for key, preference in list(self._preferences.items()):
-            kept = [item for item in preference if item[1] not in gone]
-            if len(kept) * 2 < min(_PREFERRED, len(nodes)):
+            kept = [item for item in preference if item[1] not in removed]
+            if len(kept) * 2 < min(_PREFERENCE_LENGTH, len(nodes)):
                 del self._preferences[key]
                 continue
-            self._preferences[key] = _add_nodes(key, kept, come)
+            self._preferences[key] = _add_nodes(key, kept, added)
 
     def _assign(self) -> dict[str, NodeId]:
-        cap = max(1, math.ceil(_SLACK * len(self._keys) / len(self._nodes)))
+        bound = max(1, math.ceil(_MAX_LOAD_FACTOR * len(self._keys) / len(self._nodes)))
         counts: Counter[NodeId] = Counter()
         owners: dict[str, NodeId] = {}
         for key in self._keys:
             preference = self._preference_of(key)
-            free = (node for _, node in preference if counts[node] < cap)
-            owner = next(free, preference[0][1])
+            below_bound = (node for _, node in preference if counts[node] < bound)
+            owner = next(below_bound, preference[0][1])
             counts[owner] += 1
             owners[key] = owner
         return owners
 
-    def _preference_of(self, key: str) -> list[Weighted]:
+    def _preference_of(self, key: str) -> list[WeightedNode]:
         preference = self._preferences.get(key)
         if preference is None:
             weighted = sorted(
                 ((_weight(node, key), node) for node in self._nodes), reverse=True
             )
-            preference = self._preferences[key] = weighted[:_PREFERRED]
+            preference = self._preferences[key] = weighted[:_PREFERENCE_LENGTH]
         return preference
 
 
-def _add_nodes(key: str, kept: list[Weighted], come: set[NodeId]) -> list[Weighted]:
-    """Return a preference order with new nodes put where they belong.
+def _add_nodes(
+    key: str, kept: list[WeightedNode], added: set[NodeId]
+) -> list[WeightedNode]:
+    """Return a preference order with new nodes inserted at their rank.
 
-    Below the order's end other nodes may stand that were never kept, so a new node
-    that would come last is left out.
+    The order is truncated, and nodes beyond its end may rank above a new node that
+    would come last, so that such a node is left out.
     """
-    for node in come:
+    for node in added:
         item = (_weight(node, key), node)
-        if kept and item < kept[-1] and len(kept) >= _PREFERRED // 2:
+        if kept and item < kept[-1] and len(kept) >= _PREFERENCE_LENGTH // 2:
             continue
         bisect.insort(kept, item, key=lambda each: (-each[0], each[1]))
-    return kept[:_PREFERRED]
+    return kept[:_PREFERENCE_LENGTH]
 
 
 def _hash_key(key: str) -> tuple[int, str]:
--- a/src/rudderpass/membership/_view.py
+++ b/src/rudderpass/membership/_view.py
@@ -1,9 +1,9 @@
-"""Which nodes are live, as one node sees it.
+"""One node's view of which nodes are live.
 
-The platform's host list lags, so a node adds its own evidence: a failed call makes
-a peer suspect, an answered one clears it, and peers that speak are live before the
-list names them. Suspicions heard from others are not believed; they only make the
-node probe for itself, because a peer may be the one that is cut off.
+The platform's host list lags, so a node also uses its own observations: a failed
+call makes a peer suspect, an answered call clears it, and a peer that sends messages
+is live before the list names it. A suspicion reported by a peer is not trusted,
+because that peer may itself be cut off; it only makes the node probe the suspect.
 """
 
 from __future__ import annotations
@@ -19,14 +19,16 @@
 PROBE_SECONDS = 1.0
 """How often a node probes one random peer and a few of its suspects."""
 
-_HEARD_SECONDS = 10.0
-_RUMOURS_PER_PROBE = 8
+_CONTACT_TTL_SECONDS = 10.0
+"""How long a contact keeps a peer live that the host list does not name."""
+
+_SUSPICIONS_PER_PROBE = 8
 _SUSPECTS_PER_ROUND = 4
-"""Bounds the calls that time out when a whole availability zone is lost."""
+"""Limits the calls that time out when a whole availability zone is lost."""
 
 
 class HostState(Enum):
-    """What the platform's host list says of a host."""
+    """State of a host in the platform's host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -34,7 +36,7 @@
 
 @dataclass(frozen=True)
 class HostRecord:
-    """One host of the platform's list."""
+    """One entry of the platform's host list."""
 
     node: NodeId
     zone: AvailabilityZone
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Suspicion:
-    """A peer that a node could not reach, and for how many seconds."""
+    """A peer that a node suspects to be down, and for how many seconds it has."""
 
     node: NodeId
     age: float
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """Shows that the sender lives; carries what it knows in brief."""
+    """A heartbeat, with the sender's configuration version and suspicions."""
 
     config_version: int
     suspicions: tuple[Suspicion, ...] = ()
@@ -59,11 +61,11 @@
 
 
 class MembershipView:
-    """One node's view of the others.
+    """One node's view of the other nodes.
 
     :param node: this node.
     :param zone: this node's availability zone.
-    :param rng: chooses whom to probe.
+    :param rng: chooses the peers to probe.
 
     .. versionadded:: 0.1
     """
@@ -76,12 +78,12 @@
         self._rng = rng
         self._listed: dict[NodeId, HostRecord] = {}
         self._suspects: dict[NodeId, float] = {}
-        self._heard: dict[NodeId, float] = {}
-        self._said_leaving: set[NodeId] = set()
+        self._last_contact: dict[NodeId, float] = {}
+        self._leaving_peers: set[NodeId] = set()
         self._leaving = False
         self._next_probe = 0.0
-        self._probe_soon: set[NodeId] = set()
-        self._cached_live: tuple[NodeId, ...] | None = None
+        self._reported_suspects: set[NodeId] = set()
+        self._live_cache: tuple[NodeId, ...] | None = None
         self._ownership = Ownership()
 
     @property
@@ -91,32 +93,32 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether this node is stopping."""
+        """Whether this node is shutting down."""
         return self._leaving
 
     @property
     def suspects(self) -> frozenset[NodeId]:
-        """Peers that this node could not reach lately."""
+        """Peers that this node takes to be unreachable."""
         return frozenset(self._suspects)
 
     def live(self) -> tuple[NodeId, ...]:
-        """Return the nodes that may own pools, sorted; this one while it stays."""
-        if self._cached_live is None:
-            self._cached_live = self._find_live()
-        return self._cached_live
+        """Return the nodes that may own pools, sorted; this one unless leaving."""
+        if self._live_cache is None:
+            self._live_cache = self._find_live()
+        return self._live_cache
 
     def peers(self) -> tuple[NodeId, ...]:
         """Return the other live nodes."""
         return tuple(node for node in self.live() if node != self._node)
 
-    def reach(self) -> float:
-        """Return the part of the listed nodes that this node can reach."""
+    def reachable_share(self) -> float:
+        """Return the share of the listed nodes, with this one, that are not suspect."""
         listed = set(self._listed) | {self._node}
-        reached = [node for node in listed if node not in self._suspects]
-        return len(reached) / len(listed)
+        reachable = [node for node in listed if node not in self._suspects]
+        return len(reachable) / len(listed)
 
     def set_keys(self, keys: Iterable[str]) -> None:
-        """Set the keys that are to be spread over the nodes."""
+        """Set the keys to be distributed over the nodes."""
         self._ownership.set_keys(keys)
 
     def owner_of(self, key: str) -> NodeId:
@@ -124,91 +126,92 @@
         nodes = self.live() or (self._node,)
         return self._ownership.owner_of(key, nodes)
 
-    def note_listed(self, hosts: Iterable[HostRecord]) -> None:
-        """Take the platform's host list."""
+    def set_hosts(self, hosts: Iterable[HostRecord]) -> None:
+        """Replace the platform's host list."""
         self._listed = {host.node: host for host in hosts}
         for node in set(self._suspects) - set(self._listed):
-            if node not in self._heard:
+            if node not in self._last_contact:
                 del self._suspects[node]
-        self._cached_live = None
+        self._live_cache = None
 
-    def note_failure(self, peer: NodeId, now: float) -> bool:
-        """Take a failed call as evidence; tell whether it is news."""
+    def record_failure(self, peer: NodeId, now: float) -> bool:
+        """Suspect a peer after a failed call; return whether the view changed."""
         if peer == self._node or peer in self._suspects:
             return False
         self._suspects[peer] = now
-        self._heard.pop(peer, None)
-        self._cached_live = None
+        self._last_contact.pop(peer, None)
+        self._live_cache = None
         return True
 
-    def note_heard(self, peer: NodeId, now: float) -> bool:
-        """Take a sign of life from a peer; tell whether it is news."""
-        news = peer in self._suspects or peer not in self._heard
+    def record_contact(self, peer: NodeId, now: float) -> bool:
+        """Record a sign of life from a peer; return whether it changes the view."""
+        changed = peer in self._suspects or peer not in self._last_contact
         self._suspects.pop(peer, None)
-        self._heard[peer] = now
-        if news:
-            self._cached_live = None
-        return news
-
-    def note_probe(self, peer: NodeId, probe: Probe, now: float) -> None:
-        """Take what a peer's probe says."""
-        self.note_heard(peer, now)
-        if probe.leaving != (peer in self._said_leaving):
-            self._said_leaving ^= {peer}
-            self._cached_live = None
+        self._last_contact[peer] = now
+        if changed:
+            self._live_cache = None
+        return changed
+
+    def receive_probe(self, peer: NodeId, probe: Probe, now: float) -> None:
+        """Apply a peer's probe."""
+        self.record_contact(peer, now)
+        if probe.leaving != (peer in self._leaving_peers):
+            self._leaving_peers ^= {peer}
+            self._live_cache = None
         for suspicion in probe.suspicions:
             if suspicion.node != self._node and suspicion.node in self.live():
-                self._probe_soon.add(suspicion.node)
+                self._reported_suspects.add(suspicion.node)
 
-    def note_leaving(self) -> None:
-        """Stop owning anything; the node is about to stop."""
+    def begin_leaving(self) -> None:
+        """Remove this node from the live nodes before it shuts down."""
         self._leaving = True
-        self._cached_live = None
+        self._live_cache = None
 
     def make_probe(self, config_version: int, now: float) -> Probe:
         """Return the probe to send now."""
         newest = sorted(self._suspects.items(), key=lambda item: -item[1])
         suspicions = tuple(
-            Suspicion(node, now - since) for node, since in newest[:_RUMOURS_PER_PROBE]
+            Suspicion(node, now - since)
+            for node, since in newest[:_SUSPICIONS_PER_PROBE]
         )
         return Probe(config_version, suspicions, self._leaving)
 
     def probe_targets(self, now: float) -> tuple[NodeId, ...]:
-        """Return the peers to probe now; empty between the intervals."""
+        """Return the peers to probe now; empty until the next interval."""
         if now < self._next_probe:
             return ()
         self._next_probe = now + PROBE_SECONDS
-        self._forget_unheard(now)
+        self._expire_contacts(now)
         suspects = sorted(self._suspects)
         if len(suspects) > _SUSPECTS_PER_ROUND:
             suspects = self._rng.sample(suspects, _SUSPECTS_PER_ROUND)
-        rumoured = sorted(self._probe_soon & set(self.peers()))
-        targets = {*suspects, *rumoured[:_RUMOURS_PER_PROBE]}
-        self._probe_soon = set()
+        reported = sorted(self._reported_suspects & set(self.peers()))
+        targets = {*suspects, *reported[:_SUSPICIONS_PER_PROBE]}
+        self._reported_suspects = set()
         others = [peer for peer in self.peers() if peer not in targets]
         if others:
             targets.add(self._rng.choice(others))
         return tuple(sorted(targets))
 
     def _find_live(self) -> tuple[NodeId, ...]:
-        known = {
+        live = {
             node for node, host in self._listed.items() if host.state is HostState.LIVE
         }
-        gone = {
+        leaving = {
             node
             for node, host in self._listed.items()
             if host.state is HostState.LEAVING
         }
-        known |= set(self._heard) - gone
-        known -= set(self._suspects)
-        known -= self._said_leaving
-        known.discard(self._node)
+        live |= set(self._last_contact) - leaving
+        live -= set(self._suspects)
+        live -= self._leaving_peers
+        live.discard(self._node)
         if not self._leaving:
-            known.add(self._node)
-        return tuple(sorted(known))
-
-    def _forget_unheard(self, now: float) -> None:
-        for peer, heard in list(self._heard.items()):
-            if now - heard > _HEARD_SECONDS:
-                del self._heard[peer]
-                self._cached_live = None
+            live.add(self._node)
+        return tuple(sorted(live))
+
+    def _expire_contacts(self, now: float) -> None:
+        for peer, contacted in list(self._last_contact.items()):
+            if now - contacted > _CONTACT_TTL_SECONDS:
+                del self._last_contact[peer]
+                self._live_cache = None
--- a/src/rudderpass/node/_node.py
+++ b/src/rudderpass/node/_node.py
@@ -50,7 +50,7 @@
 
     def note_progress(self, request_id: RequestId, tokens: int) -> None:
         """Tell how many tokens a running request has brought so far."""
-        self._runtime.core.note_progress(request_id, tokens)
+        self._runtime.core.record_progress(request_id, tokens)
 
     def shed_lowest(self, reason: str) -> None:
         """Refuse the newest waiting request of the lowest tier."""
--- a/src/rudderpass/node/_runtime.py
+++ b/src/rudderpass/node/_runtime.py
@@ -104,14 +104,14 @@
     def take_config(self, state: ConfigState, source: str) -> None:
         """Put a configuration in force unless a newer one is."""
         with self._lock:
-            self._carry_out(self._core.take_config(state, source, time.monotonic()))
+            self._carry_out(self._core.apply_config(state, source, time.monotonic()))
             self._apply_leaving()
 
     def take_hosts(self, hosts: HostList) -> None:
         """Take the platform's host list."""
         with self._lock:
             self._hosts = hosts
-            self._carry_out(self._core.take_hosts(hosts.nodes, time.monotonic()))
+            self._carry_out(self._core.set_hosts(hosts.nodes, time.monotonic()))
             self._apply_leaving()
 
     def leave(self) -> None:
@@ -127,7 +127,7 @@
             if spec.address in addresses
         ]
         now = time.monotonic()
-        self._carry_out(self._core.take_leaving_upstreams(leaving, now))
+        self._carry_out(self._core.set_leaving_upstreams(leaving, now))
 
     def _receive(self, sender: NodeId, messages: Sequence[PeerMessage]) -> None:
         with self._lock:
@@ -139,9 +139,9 @@
         with self._lock:
             now = time.monotonic()
             if succeeded:
-                self._carry_out(self._core.note_reachable(peer, now))
+                self._carry_out(self._core.record_reachable(peer, now))
             else:
-                self._carry_out(self._core.note_unreachable(peer, now))
+                self._carry_out(self._core.record_unreachable(peer, now))
 
     def _complain(self, text: str) -> None:
         log("peer", f"{text}.", node=self._core.node)
--- a/src/rudderpass/pools/__init__.py
+++ b/src/rudderpass/pools/__init__.py
@@ -1,8 +1,8 @@
-"""Pools: one owner queues and grants, entry nodes hold and renew."""
+"""Pools: the owner queues reservations and grants slots; entry nodes renew leases."""
 
 from rudderpass.pools._entry import (
     ANSWER_SECONDS as ANSWER_SECONDS,
-    EntryDesk as EntryDesk,
+    EntryReservations as EntryReservations,
     Granted as Granted,
     Refused as Refused,
 )
@@ -26,6 +26,6 @@
 )
 from rudderpass.pools._timing import (
     LEASE_INTERVALS as LEASE_INTERVALS,
-    RENEW_SECONDS as RENEW_SECONDS,
+    MIN_RENEW_SECONDS as MIN_RENEW_SECONDS,
     renew_interval as renew_interval,
 )
--- a/src/rudderpass/pools/_entry.py
+++ b/src/rudderpass/pools/_entry.py
@@ -1,4 +1,4 @@
-"""The entry node's side of pools: what it waits for and what it runs."""
+"""The entry node's side of a pool: its waiting and running requests."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 from rudderpass.routing import Ending, Usage
 
 ANSWER_SECONDS = 0.25
-"""An owner that has not answered a reservation for so long is asked again."""
+"""A reservation that the owner has not answered for so long is sent again."""
 
-_ASK_AGAIN_SECONDS = 1.0
+_RETRY_DELAY_SECONDS = 1.0
+"""Delay between retries, in addition to ``ANSWER_SECONDS``."""
 
 
 @dataclass(frozen=True)
 class Granted:
-    """An action: the request may go to this upstream now."""
+    """An action: the request may be sent to this upstream now."""
 
     request_id: RequestId
     upstream: UpstreamId
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """An action: the request was not run; come back after ``retry_after`` s."""
+    """An action: the request was not run; retry after ``retry_after`` seconds."""
 
     request_id: RequestId
     reason: str
@@ -48,19 +49,19 @@
 
 
 @dataclass
-class _Held:
-    """One reservation and, once granted, where it runs."""
+class _TrackedRequest:
+    """A reservation and, once granted, its upstream."""
 
     reservation: Reservation
     upstream: UpstreamId | None = None
     token: int = 0
     tokens: int = 0
     is_queued: bool = False
-    asked_at: float = 0.0
+    timeout_from: float = 0.0
 
 
-class EntryDesk:
-    """The state machine of an entry node's reservations.
+class EntryReservations:
+    """State machine of an entry node's reservations.
 
     :param zone: this node's availability zone.
 
@@ -69,51 +70,59 @@
 
     def __init__(self, zone: AvailabilityZone) -> None:
         self._zone = zone
-        self._held: dict[RequestId, _Held] = {}
+        self._requests: dict[RequestId, _TrackedRequest] = {}
         self._owners: dict[PoolId, NodeId] = {}
 
     @property
     def pools(self) -> set[PoolId]:
-        """Pools in which this node holds anything."""
-        return {held.reservation.pool for held in self._held.values()}
+        """Pools in which this node has waiting or running requests."""
+        return {request.reservation.pool for request in self._requests.values()}
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a grant."""
-        return sum(held.upstream is None for held in self._held.values())
+        """Number of requests that wait for a grant."""
+        return sum(request.upstream is None for request in self._requests.values())
 
     @property
     def running(self) -> int:
-        """How many requests hold a grant."""
-        return sum(held.upstream is not None for held in self._held.values())
+        """Number of requests that hold a grant."""
+        return sum(request.upstream is not None for request in self._requests.values())
 
-    def lowest_waiting(self) -> Reservation | None:
-        """Return the newest waiting work of the lowest tier."""
+    def shed_candidate(self) -> Reservation | None:
+        """Return the reservation to shed first: the newest of the lowest tier."""
         waiting = [
-            held.reservation for held in self._held.values() if held.upstream is None
+            request.reservation
+            for request in self._requests.values()
+            if request.upstream is None
         ]
         return max(
             waiting,
-            key=lambda work: (work.tier, not work.resumed, work.arrived),
+            key=lambda reservation: (
+                reservation.tier,
+                not reservation.resumed,
+                reservation.arrived,
+            ),
             default=None,
         )
 
     def submit(
         self, reservation: Reservation, owner: NodeId, now: float
     ) -> list[EntryAction]:
-        """Ask the pool's owner for a slot."""
-        self._held[reservation.request_id] = _Held(reservation, asked_at=now)
+        """Send a reservation to the pool's owner."""
+        self._requests[reservation.request_id] = _TrackedRequest(
+            reservation, timeout_from=now
+        )
         self._owners[reservation.pool] = owner
         return [Send(owner, Reserve(reservation))]
 
-    def grant(self, sender: NodeId, message: Grant) -> list[EntryAction]:
-        """Accept a grant, or give it back when it is not needed."""
-        held = self._held.get(message.request_id)
-        if held is not None and held.upstream is None:
-            held.upstream = message.upstream
-            held.token = message.token
+    def receive_grant(self, sender: NodeId, message: Grant) -> list[EntryAction]:
+        """Accept a grant, or release it if it is not needed."""
+        request = self._requests.get(message.request_id)
+        if request is not None and request.upstream is None:
+            request.upstream = message.upstream
+            request.token = message.token
             return [Granted(message.request_id, message.upstream, message.token)]
-        if held is not None and held.token == message.token:
+        if request is not None and request.token == message.token:
             return []
         unused = Release(
             message.pool,
@@ -125,68 +134,73 @@
         )
         return [Send(sender, unused)]
 
-    def queued(self, message: Queued) -> list[EntryAction]:
-        """Note that the owner has the reservation."""
-        held = self._held.get(message.request_id)
-        if held is not None:
-            held.is_queued = True
+    def receive_queued(self, message: Queued) -> list[EntryAction]:
+        """Record that the owner has queued the reservation."""
+        request = self._requests.get(message.request_id)
+        if request is not None:
+            request.is_queued = True
         return []
 
-    def ask_again(self, now: float) -> list[EntryAction]:
-        """Ask reliably for what the owner has not answered in time.
+    def retry_unanswered(self, now: float) -> list[EntryAction]:
+        """Resend, as reliable messages, the reservations not answered in time.
 
-        If the owner is gone, this is how the node learns of it.
+        A failed reliable message is how the node detects that the owner is gone.
         """
         actions: list[EntryAction] = []
-        for held in self._held.values():
-            if held.upstream is not None or held.is_queued:
+        for request in self._requests.values():
+            if request.upstream is not None or request.is_queued:
                 continue
-            if now - held.asked_at < ANSWER_SECONDS:
+            if now - request.timeout_from < ANSWER_SECONDS:
                 continue
-            held.asked_at = now + _ASK_AGAIN_SECONDS
-            owner = self._owners[held.reservation.pool]
-            actions.append(Send(owner, Reserve(held.reservation), reliable=True))
+            request.timeout_from = now + _RETRY_DELAY_SECONDS
+            owner = self._owners[request.reservation.pool]
+            actions.append(Send(owner, Reserve(request.reservation), reliable=True))
         return actions
 
-    def shed(self, message: Shed) -> list[EntryAction]:
-        """Pass on a refusal, unless the request was granted meanwhile."""
-        held = self._held.get(message.request_id)
-        if held is None or held.upstream is not None:
+    def receive_shed(self, message: Shed) -> list[EntryAction]:
+        """Refuse the request, unless it has been granted in the meantime."""
+        request = self._requests.get(message.request_id)
+        if request is None or request.upstream is not None:
             return []
-        del self._held[message.request_id]
+        del self._requests[message.request_id]
         return [Refused(message.request_id, message.reason, message.retry_after)]
 
-    def resend(self, sender: NodeId, message: Resend) -> list[EntryAction]:
-        """Send the reservations that the owner does not know."""
+    def receive_resend(self, sender: NodeId, message: Resend) -> list[EntryAction]:
+        """Resend the reservations that the owner does not know."""
         return [
-            Send(sender, Reserve(held.reservation), reliable=True)
+            Send(sender, Reserve(request.reservation), reliable=True)
             for request_id in message.request_ids
-            if (held := self._held.get(request_id)) is not None
-            and held.upstream is None
+            if (request := self._requests.get(request_id)) is not None
+            and request.upstream is None
         ]
 
     def finish(self, request_id: RequestId, usage: Usage) -> list[EntryAction]:
-        """Give back whatever the request holds."""
-        held = self._held.pop(request_id, None)
-        if held is None:
+        """Release the request's grant, or cancel its reservation."""
+        request = self._requests.pop(request_id, None)
+        if request is None:
             return []
-        work = held.reservation
-        owner = self._owners[work.pool]
-        if held.upstream is None:
-            return [Send(owner, Cancel(work.pool, request_id))]
+        reservation = request.reservation
+        owner = self._owners[reservation.pool]
+        if request.upstream is None:
+            return [Send(owner, Cancel(reservation.pool, request_id))]
         release = Release(
-            work.pool, request_id, held.upstream, held.token, usage, work.zone
+            reservation.pool,
+            request_id,
+            request.upstream,
+            request.token,
+            usage,
+            reservation.zone,
         )
         return [Send(owner, release)]
 
-    def note_progress(self, request_id: RequestId, tokens: int) -> None:
-        """Remember how many tokens a running request has brought so far."""
-        held = self._held.get(request_id)
-        if held is not None:
-            held.tokens = tokens
+    def record_progress(self, request_id: RequestId, tokens: int) -> None:
+        """Record how many tokens a running request has produced so far."""
+        request = self._requests.get(request_id)
+        if request is not None:
+            request.tokens = tokens
 
     def set_owner(self, pool: PoolId, owner: NodeId) -> list[EntryAction]:
-        """Register everything with the pool's new owner."""
+        """Register all reservations and grants with the pool's new owner."""
         old = self._owners.get(pool)
         if old == owner:
             return []
@@ -194,28 +208,32 @@
         return self._register(pool, owner)
 
     def refuse_waiting(self, pool: PoolId, reason: str) -> list[EntryAction]:
-        """Refuse all waiting work of a pool that is no longer declared."""
+        """Refuse all waiting requests of a pool that is no longer declared."""
         refused: list[EntryAction] = []
-        for request_id, held in list(self._held.items()):
-            if held.reservation.pool == pool and held.upstream is None:
-                del self._held[request_id]
+        for request_id, request in list(self._requests.items()):
+            if request.reservation.pool == pool and request.upstream is None:
+                del self._requests[request_id]
                 refused.append(Refused(request_id, reason, 1.0))
         return refused
 
     def renew(self, pool: PoolId) -> list[EntryAction]:
-        """Tell the owner all that this node holds in a pool."""
+        """Report all of this node's reservations and grants in a pool to its owner."""
         waiting = []
         running = []
-        for request_id, held in self._held.items():
-            work = held.reservation
-            if work.pool != pool:
+        for request_id, request in self._requests.items():
+            reservation = request.reservation
+            if reservation.pool != pool:
                 continue
-            if held.upstream is None:
+            if request.upstream is None:
                 waiting.append(request_id)
             else:
                 running.append(
                     RunningWork(
-                        request_id, held.upstream, held.token, work.tier, held.tokens
+                        request_id,
+                        request.upstream,
+                        request.token,
+                        reservation.tier,
+                        request.tokens,
                     )
                 )
         message = Renew(pool, tuple(waiting), tuple(running))
@@ -223,8 +241,8 @@
 
     def _register(self, pool: PoolId, owner: NodeId) -> list[EntryAction]:
         actions: list[EntryAction] = self.renew(pool)
-        for held in self._held.values():
-            if held.reservation.pool == pool and held.upstream is None:
-                held.is_queued = False
-                actions.append(Send(owner, Reserve(held.reservation), reliable=True))
+        for request in self._requests.values():
+            if request.reservation.pool == pool and request.upstream is None:
+                request.is_queued = False
+                actions.append(Send(owner, Reserve(request.reservation), reliable=True))
         return actions
--- a/src/rudderpass/pools/_messages.py
+++ b/src/rudderpass/pools/_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the entry nodes and the owner of a pool, and owner's state.
+"""Messages between entry nodes and pool owners, and the actions of an owner.
 
-Times inside a message are on the clock of the node that holds it; the peer codec
-sends ages instead, because hosts share no clock.
+Times in a message are on the clock of the node that holds it; the peer codec sends
+ages instead, because hosts share no clock.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Reserve:
-    """An entry node asks for a slot."""
+    """An entry node requests a slot."""
 
     reservation: Reservation
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """The owner gives a slot of one upstream to one request."""
+    """The owner assigns a slot of an upstream to a request."""
 
     pool: PoolId
     request_id: RequestId
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The owner has a reservation but no slot for it yet."""
+    """The owner has queued a reservation but has no slot for it yet."""
 
     pool: PoolId
     request_id: RequestId
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Release:
-    """An entry node in ``zone`` gives a slot back."""
+    """An entry node in ``zone`` releases a slot."""
 
     pool: PoolId
     request_id: RequestId
@@ -72,7 +72,7 @@
 class RunningWork:
     """A granted reservation, as its entry node reports it.
 
-    :param tokens: tokens that have passed so far.
+    :param tokens: tokens streamed so far.
     """
 
     request_id: RequestId
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class Renew:
-    """All that one entry node has waiting and running in one pool."""
+    """All waiting and running requests of one entry node in one pool."""
 
     pool: PoolId
     waiting: tuple[RequestId, ...]
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True)
 class Resend:
-    """The owner asks for reservations that it does not know."""
+    """The owner requests reservations that a renewal named but it does not know."""
 
     pool: PoolId
     request_ids: tuple[RequestId, ...]
@@ -104,9 +104,9 @@
 
 @dataclass(frozen=True)
 class Send:
-    """An action: pass a message to a node (which may be this one).
+    """An action: send a message to a node, which may be this one.
 
-    :param reliable: make sure that it arrives, or learn that it did not.
+    :param reliable: whether delivery is confirmed and a failure reported.
     """
 
     peer: NodeId
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True)
 class RoutingDecision:
-    """An action: record why a request went where it went."""
+    """An action: log which upstream a request was assigned to, and why."""
 
     request_id: RequestId
     pool: PoolId
--- a/src/rudderpass/pools/_timing.py
+++ b/src/rudderpass/pools/_timing.py
@@ -1,35 +1,39 @@
-"""Intervals and rates of a pool's owner."""
+"""Renewal interval, lease length and rate of granted cost."""
 
 from __future__ import annotations
 
 import math
 
-RENEW_SECONDS = 1.0
-"""How often entry nodes renew in a small system."""
+MIN_RENEW_SECONDS = 1.0
+"""Shortest renewal interval of entry nodes, used in small systems."""
 
 LEASE_INTERVALS = 3.5
-"""An entry node that does not renew for so many intervals has lost what it held."""
+"""Length of a lease, in renewal intervals; without renewal its requests are dropped."""
 
-_NODES_PER_SECOND = 80
-_LONGEST_RENEW_SECONDS = 5.0
+_NODES_PER_RENEW_SECOND = 80
+"""Live nodes for which the renewal interval grows by one second."""
+
+_MAX_RENEW_SECONDS = 5.0
 
 
 def renew_interval(nodes: int) -> float:
-    """Return how often entry nodes renew, in seconds.
+    """Return the renewal interval of entry nodes, in seconds.
 
-    Each renews with every owner that it holds work of, and in a large system those
-    are many; the interval grows so that the traffic a node does not.
+    An entry node renews with every owner that has its requests, and a large system
+    has many owners; the interval grows so that the traffic per node does not.
     """
-    return min(_LONGEST_RENEW_SECONDS, max(RENEW_SECONDS, nodes / _NODES_PER_SECOND))
+    return min(
+        _MAX_RENEW_SECONDS, max(MIN_RENEW_SECONDS, nodes / _NODES_PER_RENEW_SECOND)
+    )
 
 
-class WorkRate:
-    """Work granted a second, over a sliding window of about ten seconds.
+class CostRate:
+    """Rate of granted cost, over a sliding window of about ten seconds.
 
     .. versionadded:: 0.1
     """
 
-    _WINDOW = 10.0
+    _WINDOW_SECONDS = 10.0
 
     def __init__(self, now: float) -> None:
         self._started = now
@@ -37,16 +41,16 @@
         self._updated = now
 
     def add(self, amount: float, now: float) -> None:
-        """Count work, in tokens."""
+        """Add granted cost, in tokens."""
         self._decay(now)
         self._level += amount
 
     def per_second(self, now: float) -> float:
-        """Return the rate, in tokens a second."""
+        """Return the rate, in tokens per second."""
         self._decay(now)
-        age = min(self._WINDOW, max(1.0, now - self._started))
-        return self._level / age
+        elapsed = min(self._WINDOW_SECONDS, max(1.0, now - self._started))
+        return self._level / elapsed
 
     def _decay(self, now: float) -> None:
-        self._level *= math.exp(-(now - self._updated) / self._WINDOW)
+        self._level *= math.exp(-(now - self._updated) / self._WINDOW_SECONDS)
         self._updated = now
--- a/src/rudderpass/replay/_cluster.py
+++ b/src/rudderpass/replay/_cluster.py
@@ -120,8 +120,10 @@
         return VirtualNode(number, scheduler, zone)
 
     def _start(self, node: VirtualNode) -> None:
-        self._do(node, node.scheduler.take_hosts(self._host_records(), self.env.now))
-        self._do(node, node.scheduler.take_config(self._config, "replay", self.env.now))
+        self._do(node, node.scheduler.set_hosts(self._host_records(), self.env.now))
+        self._do(
+            node, node.scheduler.apply_config(self._config, "replay", self.env.now)
+        )
         self.env.process(self._tick(node, node.scheduler))
 
     def _host_records(self) -> list[HostRecord]:
@@ -144,7 +146,7 @@
     def _show_hosts(
         self, node: VirtualNode, records: list[HostRecord]
     ) -> list[CoreAction]:
-        return node.scheduler.take_hosts(records, self.env.now)
+        return node.scheduler.set_hosts(records, self.env.now)
 
     def _tick(
         self, node: VirtualNode, scheduler: Scheduler
@@ -160,7 +162,7 @@
             if caller.work is None or caller.engine is None or caller.work.ended:
                 continue
             tokens = caller.engine.tokens_of(caller.work)
-            node.scheduler.note_progress(request_id, tokens)
+            node.scheduler.record_progress(request_id, tokens)
 
     def on_node(self, node: VirtualNode, event: Callable[[], list[CoreAction]]) -> None:
         """Run an event on a node, later if it is paused, never if it is down."""
@@ -226,11 +228,11 @@
             sender = scheduler.node
             self.on_node(peer, lambda: receive(sender, action.message, self.env.now))
             if action.reliable:
-                note = scheduler.note_reachable
+                note = scheduler.record_reachable
                 self.on_node(node, lambda: note(action.peer, self.env.now))
             return
         if action.reliable:
-            note = scheduler.note_unreachable
+            note = scheduler.record_unreachable
             self.on_node(node, lambda: note(action.peer, self.env.now))
 
     def _is_cut(self, node: VirtualNode, peer: VirtualNode) -> bool:
--- a/src/rudderpass/replay/_policies.py
+++ b/src/rudderpass/replay/_policies.py
@@ -92,14 +92,14 @@
         """The declared objects in force here."""
         return self._catalog
 
-    def take_config(
+    def apply_config(
         self, state: ConfigState, source: str, now: float
     ) -> list[CoreAction]:
         """Put a configuration in force."""
         self._catalog = state.catalog
         return []
 
-    def take_hosts(self, hosts: Iterable[HostRecord], now: float) -> list[CoreAction]:
+    def set_hosts(self, hosts: Iterable[HostRecord], now: float) -> list[CoreAction]:
         """Ignore the host list; baselines do not speak to peers."""
         return []
 
@@ -109,15 +109,15 @@
         """Ignore peers."""
         return []
 
-    def note_unreachable(self, peer: NodeId, now: float) -> list[CoreAction]:
+    def record_unreachable(self, peer: NodeId, now: float) -> list[CoreAction]:
         """Ignore peers."""
         return []
 
-    def note_reachable(self, peer: NodeId, now: float) -> list[CoreAction]:
+    def record_reachable(self, peer: NodeId, now: float) -> list[CoreAction]:
         """Ignore peers."""
         return []
 
-    def note_progress(self, request_id: RequestId, tokens: int) -> None:
+    def record_progress(self, request_id: RequestId, tokens: int) -> None:
         """Ignore progress; baselines learn nothing."""
 
     def tick(self, now: float) -> list[CoreAction]:
@@ -212,11 +212,11 @@
         self._owners: dict[str, PoolOwner] = {}
         self._held: dict[RequestId, tuple[str, Grant]] = {}
 
-    def take_config(
+    def apply_config(
         self, state: ConfigState, source: str, now: float
     ) -> list[CoreAction]:
         """Divide the declared slots."""
-        super().take_config(state, source, now)
+        super().apply_config(state, source, now)
         for pool, specs in self._catalog.pools.items():
             owner = self._owners.setdefault(pool, PoolOwner(pool, 1, now))
             shares = {}
@@ -271,7 +271,7 @@
         """Refuse what waited too long."""
         actions: list[CoreAction] = []
         for owner in self._owners.values():
-            owner.keep_entry(self._node, now)
+            owner.extend_lease(self._node, now)
             actions += self._collect(owner.tick(now))
         return actions
 
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -1,4 +1,4 @@
-"""Team limits as one node applies its share of them."""
+"""Enforcement of one node's share of a team's limits."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
         (Limits(requests_per_second=20), 4, 10),
     ],
 )
-def test_share_of_a_limit(limits: Limits, nodes: int, admitted: int) -> None:
+def test_a_node_admits_its_share_of_a_limit(
+    limits: Limits, nodes: int, admitted: int
+) -> None:
     assert count_admitted(limits, nodes) == admitted
 
 
-def test_tokens_used_hold_back_the_next_request() -> None:
+def test_used_tokens_delay_the_next_request() -> None:
     limits = Limits(tokens_per_second=100)
     limiter = TeamLimiter(0.0)
     assert limiter.admit(limits, 1, 0.0) is None
--- a/tests/admission/test_queue.py
+++ b/tests/admission/test_queue.py
@@ -13,17 +13,17 @@
 from tests.fuzz import make_settings
 
 
-def drain(queue: AdmissionQueue, now: float = 0.0) -> list[str]:
-    """Serve everything and return the request ids in order."""
+def serve_all(queue: AdmissionQueue, now: float = 0.0) -> list[str]:
+    """Serve every reservation and return the request ids in order."""
     served: list[str] = []
     while len(queue):
-        work = next(queue.in_order(now))
-        queue.serve(work.request_id)
-        served.append(work.request_id)
+        reservation = next(queue.in_order(now))
+        queue.serve(reservation.request_id)
+        served.append(reservation.request_id)
     return served
 
 
-def fill(*items: dict[str, Any]) -> AdmissionQueue:
+def make_queue(*items: dict[str, Any]) -> AdmissionQueue:
     queue = AdmissionQueue()
     for number, changes in enumerate(items):
         queue.push(make_work(number, **changes))
@@ -50,31 +50,31 @@
         pytest.param(
             [{"team": "big"}, {"team": "big"}, {"team": "big"}, {"team": "small"}],
             ["r0000", "r0003", "r0001", "r0002"],
-            id="a large team does not bury a small one",
+            id="a large team does not starve a small one",
         ),
         pytest.param(
             [{}, {"resumed": True}],
             ["r0001", "r0000"],
-            id="resumed work before new work",
+            id="resumed requests before new ones",
         ),
     ],
 )
 def test_order_of_service(items: list[dict[str, Any]], order: list[str]) -> None:
-    assert drain(fill(*items)) == order
+    assert serve_all(make_queue(*items)) == order
 
 
-def test_work_in_time_goes_before_late_work_of_its_tier() -> None:
+def test_requests_in_time_go_before_late_ones_of_their_tier() -> None:
     queue = AdmissionQueue()
     queue.push(make_work(0, start_target=1.0))
     queue.push(make_work(9, start_target=1.0))
-    assert drain(queue, now=9.5) == ["r0009", "r0000"]
+    assert serve_all(queue, now=9.5) == ["r0009", "r0000"]
 
 
-def test_late_work_of_a_higher_tier_still_goes_before_a_lower_tier() -> None:
+def test_late_requests_of_a_higher_tier_go_before_a_lower_tier() -> None:
     queue = AdmissionQueue()
     queue.push(make_work(0, start_target=1.0, tier=1, service_class="a"))
     queue.push(make_work(9, start_target=1.0))
-    assert drain(queue, now=9.5) == ["r0000", "r0009"]
+    assert serve_all(queue, now=9.5) == ["r0000", "r0009"]
 
 
 def test_floor_serves_a_lower_class_within_its_share() -> None:
@@ -85,22 +85,24 @@
     low = ClassName("low")
     for number in range(100, 110):
         queue.push(make_work(number, tier=5, service_class=low, floor_share=0.1))
-    served = drain(queue)
-    places = [place for place, name in enumerate(served) if name >= "r0100"]
-    assert places[0] <= 11
-    assert all(later - earlier <= 12 for earlier, later in zip(places, places[1:]))
+    served = serve_all(queue)
+    positions = [position for position, name in enumerate(served) if name >= "r0100"]
+    assert positions[0] <= 11
+    assert all(
+        later - earlier <= 12 for earlier, later in zip(positions, positions[1:])
+    )
 
 
-def test_without_a_floor_the_lower_class_waits_for_all() -> None:
-    """The check above can fail: no floor, no service."""
+def test_without_a_floor_the_lower_class_is_served_last() -> None:
+    """Counter-check of the test above: without a floor, no early service."""
     queue = AdmissionQueue()
     for number in range(100):
         queue.push(make_work(number, tier=1, service_class="top"))
     queue.push(make_work(100, tier=5, service_class="low"))
-    assert drain(queue)[-1] == "r0100"
+    assert serve_all(queue)[-1] == "r0100"
 
 
-def test_a_team_that_was_idle_gets_no_arrears() -> None:
+def test_an_idle_team_earns_no_priority() -> None:
     queue = AdmissionQueue()
     for number in range(20):
         queue.push(make_work(number, team="busy"))
@@ -108,7 +110,7 @@
         queue.serve(next(queue.in_order(0.0)).request_id)
     for number in range(20, 30):
         queue.push(make_work(number, team="late"))
-    first = drain(queue)[:6]
+    first = serve_all(queue)[:6]
     assert sum(name < "r0020" for name in first) >= 2
 
 
@@ -121,24 +123,24 @@
             id="lowest tier",
         ),
         pytest.param([{}, {}, {}], "r0002", id="newest"),
-        pytest.param([{}, {"resumed": True}], "r0000", id="resumed work last"),
+        pytest.param([{}, {"resumed": True}], "r0000", id="resumed requests last"),
     ],
 )
-def test_what_is_shed_first(items: list[dict[str, Any]], shed: str) -> None:
-    victim = fill(*items).pick_shed()
-    assert victim is not None and victim.request_id == shed
+def test_shed_candidate(items: list[dict[str, Any]], shed: str) -> None:
+    candidate = make_queue(*items).shed_candidate()
+    assert candidate is not None and candidate.request_id == shed
 
 
-def test_lanes_of_other_upstreams_are_not_blocked() -> None:
+def test_subqueues_of_other_upstreams_are_not_blocked() -> None:
     queue = AdmissionQueue()
     queue.push(make_work(0, upstreams=(UpstreamId("u1"),)))
     queue.push(make_work(1, upstreams=(UpstreamId("u2"),)))
-    heads = {work.request_id for work in queue.in_order(0.0)}
+    heads = {reservation.request_id for reservation in queue.in_order(0.0)}
     assert heads == {"r0000", "r0001"}
 
 
 @st.composite
-def loads(draw: st.DrawFn) -> list[Reservation]:
+def reservation_lists(draw: st.DrawFn) -> list[Reservation]:
     count = draw(st.integers(1, 40))
     return [
         make_work(
@@ -155,23 +157,29 @@
 
 
 @make_settings(150)
-@given(loads(), st.floats(0, 60))
-def test_everything_is_served_exactly_once(load: list[Reservation], now: float) -> None:
+@given(reservation_lists(), st.floats(0, 60))
+def test_everything_is_served_exactly_once(
+    reservations: list[Reservation], now: float
+) -> None:
     queue = AdmissionQueue()
-    for work in load:
-        queue.push(work)
-        queue.push(work)
-    served = drain(queue, now)
-    assert sorted(served) == sorted(work.request_id for work in load)
-    assert len(queue) == 0 and queue.pick_shed() is None
+    for reservation in reservations:
+        queue.push(reservation)
+        queue.push(reservation)
+    served = serve_all(queue, now)
+    assert sorted(served) == sorted(
+        reservation.request_id for reservation in reservations
+    )
+    assert len(queue) == 0 and queue.shed_candidate() is None
 
 
 @make_settings(150)
-@given(loads())
-def test_only_the_lowest_waiting_tier_is_shed(load: list[Reservation]) -> None:
+@given(reservation_lists())
+def test_only_the_lowest_waiting_tier_is_shed(reservations: list[Reservation]) -> None:
     queue = AdmissionQueue()
-    for work in load:
-        queue.push(work)
-    while (victim := queue.pick_shed()) is not None:
-        assert all(work.tier <= victim.tier for work in queue.requests())
-        assert queue.remove(RequestId(victim.request_id)) == victim
+    for reservation in reservations:
+        queue.push(reservation)
+    while (candidate := queue.shed_candidate()) is not None:
+        assert all(
+            reservation.tier <= candidate.tier for reservation in queue.requests()
+        )
+        assert queue.remove(RequestId(candidate.request_id)) == candidate
--- a/tests/node/test_platform_faults.py
+++ b/tests/node/test_platform_faults.py
@@ -28,7 +28,7 @@
 
 def make_core(node: NodeId) -> NodeCore:
     core = NodeCore(node, AvailabilityZone(ZONE), 1, random.Random(1))
-    core.take_hosts([HostRecord(A, ZONE), HostRecord(B, ZONE)], 0.0)
+    core.set_hosts([HostRecord(A, ZONE), HostRecord(B, ZONE)], 0.0)
     return core
 
 
@@ -43,7 +43,7 @@
 
 def test_a_node_without_configuration_takes_a_peers() -> None:
     cores = {A: make_core(A), B: make_core(B)}
-    cores[A].take_config(make_state(make_catalog()), "log", 0.0)
+    cores[A].apply_config(make_state(make_catalog()), "log", 0.0)
     assert not cores[B].is_ready
     pass_messages(cores, A, [*cores[A].tick(1.0)])
     assert cores[B].is_ready
@@ -64,14 +64,14 @@
     change = build_change(old, make_catalog(extra={}), "ada")
     assert change is not None
     new, _ = apply_record(old, 1, dump_record(change))
-    core.take_config(new, "log", 0.0)
-    assert core.take_config(old, "peer", 1.0) == []
+    core.apply_config(new, "log", 0.0)
+    assert core.apply_config(old, "peer", 1.0) == []
     assert core.config == new
 
 
 def test_a_peer_with_an_older_configuration_is_not_asked() -> None:
     cores = {A: make_core(A), B: make_core(B)}
-    cores[A].take_config(make_state(make_catalog()), "log", 0.0)
+    cores[A].apply_config(make_state(make_catalog()), "log", 0.0)
     pass_messages(cores, B, [*cores[B].tick(1.0)])
     assert cores[A].config.version == 1
 
--- a/tests/pools/test_owner.py
+++ b/tests/pools/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: grants, shedding, and recovery from what entry nodes say."""
+"""The owner of a pool: grants, shedding, and recovery from entry nodes' reports."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from rudderpass.pools import (
     GRACE_SECONDS,
     LEASE_INTERVALS,
-    RENEW_SECONDS,
+    MIN_RENEW_SECONDS,
     Cancel,
     Grant,
     PoolOwner,
@@ -41,7 +41,7 @@
 ENTRY = NodeId("10.0.0.1:7000")
 OTHER = NodeId("10.0.0.2:7000")
 START = 100.0
-LEASE_SECONDS = LEASE_INTERVALS * RENEW_SECONDS
+LEASE_SECONDS = LEASE_INTERVALS * MIN_RENEW_SECONDS
 READY = START + GRACE_SECONDS
 U1, U2 = UpstreamId("u1"), UpstreamId("u2")
 
@@ -56,12 +56,12 @@
     return owner
 
 
-def work(number: int, **changes: Any) -> Reserve:
+def make_reserve(number: int, **changes: Any) -> Reserve:
     values = {"arrived": READY + number / 1000, **changes}
     return Reserve(make_work(number, **values))
 
 
-def messages(actions: Sequence[object], kind: type[Any]) -> list[Any]:
+def messages_of(actions: Sequence[object], kind: type[Any]) -> list[Any]:
     return [
         action.message
         for action in actions
@@ -69,8 +69,8 @@
     ]
 
 
-def grants(actions: Sequence[object]) -> list[Grant]:
-    return messages(actions, Grant)
+def grants_in(actions: Sequence[object]) -> list[Grant]:
+    return messages_of(actions, Grant)
 
 
 def release(grant: Grant, ending: Ending = Ending.COMPLETED) -> Release:
@@ -80,126 +80,128 @@
 
 def test_grants_up_to_the_slots_and_the_next_on_release() -> None:
     owner = make_owner(u1=2)
-    sent = [owner.reserve(ENTRY, work(number), READY) for number in range(3)]
-    granted = [grant for actions in sent for grant in grants(actions)]
+    sent = [owner.reserve(ENTRY, make_reserve(number), READY) for number in range(3)]
+    granted = [grant for actions in sent for grant in grants_in(actions)]
     assert [grant.request_id for grant in granted] == ["r0000", "r0001"]
-    following = grants(owner.release(release(granted[0]), READY + 1))
+    following = grants_in(owner.release(release(granted[0]), READY + 1))
     assert [grant.request_id for grant in following] == ["r0002"]
 
 
 def test_a_new_owner_grants_nothing_within_its_grace() -> None:
     owner = make_owner()
-    assert grants(owner.reserve(ENTRY, work(0), START + 0.01)) == []
-    assert len(grants(owner.tick(READY))) == 1
+    assert grants_in(owner.reserve(ENTRY, make_reserve(0), START + 0.01)) == []
+    assert len(grants_in(owner.tick(READY))) == 1
 
 
-def test_a_new_owner_counts_what_already_runs() -> None:
+def test_a_new_owner_counts_requests_already_running() -> None:
     owner = make_owner(u1=2)
     running = tuple(
         RunningWork(RequestId(f"old-{number}"), U1, number, 2) for number in range(2)
     )
     owner.renew(ENTRY, Renew(POOL, (), running), START + 0.1)
-    assert grants(owner.reserve(OTHER, work(0), READY)) == []
+    assert grants_in(owner.reserve(OTHER, make_reserve(0), READY)) == []
     done = release(Grant(POOL, RequestId("old-0"), U1, 0))
-    assert len(grants(owner.release(done, READY + 1))) == 1
+    assert len(grants_in(owner.release(done, READY + 1))) == 1
 
 
 def test_a_repeated_reservation_is_granted_once() -> None:
     owner = make_owner()
-    first = owner.reserve(ENTRY, work(0), READY)
-    assert len(grants(first)) == 1
-    assert grants(owner.reserve(ENTRY, work(0), READY)) == []
+    first = owner.reserve(ENTRY, make_reserve(0), READY)
+    assert len(grants_in(first)) == 1
+    assert grants_in(owner.reserve(ENTRY, make_reserve(0), READY)) == []
 
 
 def test_a_lost_grant_is_sent_again() -> None:
     owner = make_owner()
-    (grant,) = grants(owner.reserve(ENTRY, work(0), READY))
+    (grant,) = grants_in(owner.reserve(ENTRY, make_reserve(0), READY))
     renew = Renew(POOL, (grant.request_id,), ())
-    assert grants(owner.renew(ENTRY, renew, READY + 0.5)) == []
-    (again,) = grants(owner.renew(ENTRY, renew, READY + 2.0))
-    assert (again.upstream, again.token) == (grant.upstream, grant.token)
+    assert grants_in(owner.renew(ENTRY, renew, READY + 0.5)) == []
+    (resent,) = grants_in(owner.renew(ENTRY, renew, READY + 2.0))
+    assert (resent.upstream, resent.token) == (grant.upstream, grant.token)
 
 
-def test_an_unknown_waiting_request_is_asked_for() -> None:
+def test_an_unknown_waiting_request_is_requested() -> None:
     owner = make_owner()
     actions = owner.renew(ENTRY, Renew(POOL, (RequestId("lost"),), ()), READY)
-    (resend,) = messages(actions, Resend)
+    (resend,) = messages_of(actions, Resend)
     assert resend.request_ids == ("lost",)
 
 
-def test_a_lost_release_is_found_by_renewal() -> None:
+def test_a_lost_release_is_detected_by_renewal() -> None:
     owner = make_owner(u1=1)
-    (grant,) = grants(owner.reserve(ENTRY, work(0), READY))
-    owner.reserve(ENTRY, work(1), READY)
+    (grant,) = grants_in(owner.reserve(ENTRY, make_reserve(0), READY))
+    owner.reserve(ENTRY, make_reserve(1), READY)
     held = RunningWork(grant.request_id, U1, grant.token, 2)
     waiting = (RequestId("r0001"),)
     owner.renew(ENTRY, Renew(POOL, waiting, (held,)), READY + 1)
-    following = grants(owner.renew(ENTRY, Renew(POOL, waiting, ()), READY + 2))
+    following = grants_in(owner.renew(ENTRY, Renew(POOL, waiting, ()), READY + 2))
     assert [item.request_id for item in following] == ["r0001"]
 
 
-def test_what_a_lost_entry_node_held_is_free_after_its_lease() -> None:
+def test_slots_of_a_lost_entry_node_are_free_after_its_lease() -> None:
     owner = make_owner(u1=1)
-    owner.reserve(ENTRY, work(0), READY)
-    owner.reserve(OTHER, work(1), READY)
+    owner.reserve(ENTRY, make_reserve(0), READY)
+    owner.reserve(OTHER, make_reserve(1), READY)
     now = READY + LEASE_SECONDS - 0.1
     renew = Renew(POOL, (RequestId("r0001"),), ())
-    assert grants(owner.renew(OTHER, renew, now)) == []
-    (grant,) = grants(owner.tick(READY + LEASE_SECONDS + 0.2))
+    assert grants_in(owner.renew(OTHER, renew, now)) == []
+    (grant,) = grants_in(owner.tick(READY + LEASE_SECONDS + 0.2))
     assert grant.request_id == "r0001"
 
 
-def test_cancelled_work_is_not_granted() -> None:
+def test_a_cancelled_request_is_not_granted() -> None:
     owner = make_owner(u1=1)
-    (grant,) = grants(owner.reserve(ENTRY, work(0), READY))
-    owner.reserve(ENTRY, work(1), READY)
+    (grant,) = grants_in(owner.reserve(ENTRY, make_reserve(0), READY))
+    owner.reserve(ENTRY, make_reserve(1), READY)
     owner.cancel(Cancel(POOL, RequestId("r0001")), READY)
-    assert grants(owner.release(release(grant), READY + 1)) == []
+    assert grants_in(owner.release(release(grant), READY + 1)) == []
 
 
-def test_a_leaving_upstream_gets_nothing_new() -> None:
+def test_a_leaving_upstream_gets_no_new_requests() -> None:
     owner = make_owner(u1=2, u2=2)
     specs = {U1: make_upstream(slots=2), U2: make_upstream(slots=2)}
     owner.set_upstreams(specs, (U1,), 1.0)
     upstreams = (U1, U2)
     for number in range(4):
-        actions = owner.reserve(ENTRY, work(number, upstreams=upstreams), READY)
-        assert all(grant.upstream == U2 for grant in grants(actions))
+        actions = owner.reserve(ENTRY, make_reserve(number, upstreams=upstreams), READY)
+        assert all(grant.upstream == U2 for grant in grants_in(actions))
     assert owner.running == 2 and owner.waiting == 2
 
 
-def test_work_that_waited_too_long_is_refused_with_a_time_to_return() -> None:
+def test_a_request_that_waited_too_long_is_refused_with_retry_after() -> None:
     owner = make_owner(u1=1)
-    owner.reserve(ENTRY, work(0), READY)
-    owner.reserve(ENTRY, work(1, max_wait=1.0), READY)
-    owner.keep_entry(ENTRY, READY + 2)
-    (shed,) = messages(owner.tick(READY + 2), Shed)
+    owner.reserve(ENTRY, make_reserve(0), READY)
+    owner.reserve(ENTRY, make_reserve(1, max_wait=1.0), READY)
+    owner.extend_lease(ENTRY, READY + 2)
+    (shed,) = messages_of(owner.tick(READY + 2), Shed)
     assert shed.request_id == "r0001" and shed.retry_after >= 1.0
 
 
-def test_a_slot_that_comes_free_after_the_longest_wait_is_not_granted() -> None:
-    """The slot may come free before the next tick finds the wait to be over."""
+def test_a_slot_freed_after_the_longest_wait_is_not_granted() -> None:
+    """A slot may be released after the wait ended, but before the next tick."""
     owner = make_owner(u1=1)
-    (first,) = grants(owner.reserve(ENTRY, work(0), READY))
-    owner.reserve(ENTRY, work(1, max_wait=1.0), READY)
-    owner.reserve(ENTRY, work(2, max_wait=9.0), READY)
+    (first,) = grants_in(owner.reserve(ENTRY, make_reserve(0), READY))
+    owner.reserve(ENTRY, make_reserve(1, max_wait=1.0), READY)
+    owner.reserve(ENTRY, make_reserve(2, max_wait=9.0), READY)
     actions = owner.release(release(first), READY + 1.05)
-    (shed,) = messages(actions, Shed)
+    (shed,) = messages_of(actions, Shed)
     assert shed.request_id == "r0001"
-    assert [grant.request_id for grant in grants(actions)] == ["r0002"]
+    assert [grant.request_id for grant in grants_in(actions)] == ["r0002"]
 
 
 def overload(owner: PoolOwner, running_tier: int) -> list[Shed]:
-    """Fill the pool, then queue far more tier-2 work than it can serve in time."""
+    """Fill the pool, then queue far more tier-2 requests than it can serve in time."""
     now = READY
-    first = work(9000, tier=running_tier, service_class=f"class-{running_tier}")
+    first = make_reserve(9000, tier=running_tier, service_class=f"class-{running_tier}")
     owner.reserve(ENTRY, first, now)
     shed: list[Shed] = []
     for number in range(300):
         now = READY + 6 + number / 100
-        owner.keep_entry(ENTRY, now)
-        reserve = work(number, arrived=now, max_wait=30.0, expected_tokens=100.0)
-        shed += messages(owner.reserve(ENTRY, reserve, now), Shed)
+        owner.extend_lease(ENTRY, now)
+        reserve = make_reserve(
+            number, arrived=now, max_wait=30.0, expected_tokens=100.0
+        )
+        shed += messages_of(owner.reserve(ENTRY, reserve, now), Shed)
     return shed
 
 
@@ -208,29 +210,29 @@
     assert shed and shed[0].reason == "overload"
 
 
-def test_a_tier_is_not_shed_while_lower_work_runs() -> None:
+def test_a_tier_is_not_shed_while_a_lower_tier_runs() -> None:
     assert overload(make_owner(u1=1), running_tier=3) == []
 
 
 @pytest.mark.parametrize(
-    ("ending", "kept_out"),
+    ("ending", "ejected"),
     [(Ending.FAILED, True), (Ending.COMPLETED, False), (Ending.UNREACHABLE, True)],
 )
-def test_failures_keep_an_upstream_out(ending: Ending, kept_out: bool) -> None:
+def test_failures_eject_an_upstream(ending: Ending, ejected: bool) -> None:
     owner = make_owner(u1=1, u2=1)
     both = (U1, U2)
     used = []
     for number in range(6):
-        actions = owner.reserve(ENTRY, work(number, upstreams=both), READY)
-        for grant in grants(actions):
+        actions = owner.reserve(ENTRY, make_reserve(number, upstreams=both), READY)
+        for grant in grants_in(actions):
             used.append(grant.upstream)
             ended = ending if grant.upstream == U1 else Ending.COMPLETED
             owner.release(release(grant, ended), READY)
-    assert (used.count(U1) <= 2) is kept_out
+    assert (used.count(U1) <= 2) is ejected
 
 
 class OwnerMachine(RuleBasedStateMachine):
-    """Two entry nodes use one owner; messages may be repeated or lost."""
+    """Two entry nodes use one owner; messages may be duplicated or lost."""
 
     slots = 3
     owner_type = PoolOwner
@@ -245,7 +247,7 @@
         self.waiting: dict[str, NodeId] = {}
         self.running: dict[str, tuple[NodeId, Grant]] = {}
 
-    def take(self, actions: Sequence[object]) -> None:
+    def apply(self, actions: Sequence[object]) -> None:
         for action in actions:
             if not isinstance(action, Send):
                 continue
@@ -275,7 +277,7 @@
     )
     def reserve(self, tier: int, entry: NodeId, team: str, repeat: bool) -> None:
         self.number += 1
-        message = work(
+        message = make_reserve(
             self.number,
             arrived=self.now,
             tier=tier,
@@ -288,20 +290,20 @@
         name = message.reservation.request_id
         self.tiers[name] = tier
         self.waiting[name] = entry
-        self.take(self.owner.reserve(entry, message, self.now))
+        self.apply(self.owner.reserve(entry, message, self.now))
         if repeat:
-            self.take(self.owner.reserve(entry, message, self.now))
+            self.apply(self.owner.reserve(entry, message, self.now))
 
     @precondition(lambda self: self.running)
-    @rule(pick=st.integers(0, 100), lost=st.booleans())
-    def finish(self, pick: int, lost: bool) -> None:
-        name = sorted(self.running)[pick % len(self.running)]
+    @rule(index=st.integers(0, 100), lost=st.booleans())
+    def finish(self, index: int, lost: bool) -> None:
+        name = sorted(self.running)[index % len(self.running)]
         _, grant = self.running.pop(name)
         if not lost:
-            self.take(self.owner.release(release(grant), self.now))
+            self.apply(self.owner.release(release(grant), self.now))
 
     @rule(seconds=st.floats(0.05, 1.0))
-    def let_time_pass(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
         for entry in (ENTRY, OTHER):
             waiting = tuple(
@@ -313,16 +315,16 @@
                 if node == entry
             )
             renew = Renew(POOL, waiting, running)
-            self.take(self.owner.renew(entry, renew, self.now))
-        self.take(self.owner.tick(self.now))
+            self.apply(self.owner.renew(entry, renew, self.now))
+        self.apply(self.owner.tick(self.now))
 
     @invariant()
-    def never_more_than_the_slots(self) -> None:
+    def running_never_exceeds_the_slots(self) -> None:
         assert len(self.running) <= self.slots
         assert self.owner.running >= len(self.running)
 
     @invariant()
-    def no_slot_is_idle_while_work_waits_unseen(self) -> None:
+    def owner_queues_no_unknown_requests(self) -> None:
         assert self.owner.waiting <= len(self.waiting)
 
 
@@ -332,13 +334,13 @@
 
 
 class ShedsAnyTier(PoolOwner):
-    """Broken on purpose: sheds although lower-tier work holds a slot."""
+    """Broken on purpose: sheds although a lower-tier request holds a slot."""
 
-    def _is_protected(self, victim: Reservation) -> bool:
+    def _is_protected(self, candidate: Reservation) -> bool:
         return False
 
 
-class ForgetsReleases(PoolOwner):
+class FreesSlotsTwice(PoolOwner):
     """Broken on purpose: a repeated release frees a second slot."""
 
     def release(self, message: Release, now: float) -> list[OwnerAction]:
@@ -347,7 +349,7 @@
         return super().release(message, now)
 
 
-@pytest.mark.parametrize("broken", [ShedsAnyTier, ForgetsReleases])
+@pytest.mark.parametrize("broken", [ShedsAnyTier, FreesSlotsTwice])
 def test_the_check_catches_a_broken_owner(broken: type[PoolOwner]) -> None:
     machine = type("Broken", (OwnerMachine,), {"owner_type": broken})
     with pytest.raises(AssertionError):
