--- a/src/rudderpass/core/_core.py
+++ b/src/rudderpass/core/_core.py
@@ -56,7 +56,7 @@
     Send,
     Shed,
 )
-from rudderpass.routing import Ending, LengthEstimator, Usage
+from rudderpass.routing import GrantOutcome, LengthEstimator, Usage
 
 
 @dataclass
@@ -218,7 +218,7 @@
         refused = Refused(reservation.request_id, reason, 1.0)
         return [
             refused,
-            *self.finish(reservation.request_id, Usage(Ending.UNUSED), now),
+            *self.finish(reservation.request_id, Usage(GrantOutcome.UNUSED), now),
         ]
 
     # Events from peers.
@@ -313,7 +313,7 @@
         if limiter is not None and team is not None:
             nodes = max(1, len(self._view.live()))
             limiter.finish(team.limits, nodes, usage.tokens, now)
-        if usage.ending is Ending.COMPLETED and usage.tokens:
+        if usage.outcome is GrantOutcome.COMPLETED and usage.tokens:
             self._lengths.record(request.service_class, request.route, usage.tokens)
 
     def _dispatch(
@@ -341,7 +341,7 @@
                     )
                 continue
             if isinstance(action, Refused):
-                self._close_request(action.request_id, Usage(Ending.UNUSED), now)
+                self._close_request(action.request_id, Usage(GrantOutcome.UNUSED), now)
             actions.append(action)
         return actions
 
--- a/src/rudderpass/pools/_entry.py
+++ b/src/rudderpass/pools/_entry.py
@@ -18,7 +18,7 @@
     Send,
     Shed,
 )
-from rudderpass.routing import Ending, Usage
+from rudderpass.routing import GrantOutcome, Usage
 
 ANSWER_SECONDS = 0.25
 """A reservation that the owner has not answered for so long is sent again."""
@@ -129,7 +129,7 @@
             message.request_id,
             message.upstream,
             message.token,
-            Usage(Ending.UNUSED),
+            Usage(GrantOutcome.UNUSED),
             self._zone,
         )
         return [Send(sender, unused)]
--- a/src/rudderpass/pools/_owner.py
+++ b/src/rudderpass/pools/_owner.py
@@ -148,7 +148,7 @@
         """Free a slot and record its usage in the upstream's health."""
         upstream = self._upstreams.get(message.upstream)
         if upstream is not None:
-            upstream.health.note_usage(message.usage, message.zone, now)
+            upstream.health.record_usage(message.usage, message.zone, now)
         return self._release_grant(message.request_id, message.token, now)
 
     def renew(self, entry: NodeId, message: Renew, now: float) -> list[OwnerAction]:
@@ -235,7 +235,7 @@
         self._granted[reservation.request_id] = granted
         upstream = self._upstreams[choice.chosen]
         upstream.running += 1
-        upstream.health.note_grant(reservation.prefix_hash, now)
+        upstream.health.record_grant(reservation.prefix_hash, now)
         self._grant_rate.add(reservation.cost, now)
         waited = now - reservation.arrived
         decision = RoutingDecision(
@@ -313,7 +313,9 @@
         """Update the upstream's speed from two reports of one stream."""
         upstream = self._upstreams.get(item.upstream)
         if upstream is not None and item.tokens > 0:
-            upstream.health.note_progress(tokens - item.tokens, now - item.reported_at)
+            upstream.health.record_progress(
+                tokens - item.tokens, now - item.reported_at
+            )
         item.tokens = tokens
         item.reported_at = now
 
--- a/tests/pools/test_entry.py
+++ b/tests/pools/test_entry.py
@@ -17,7 +17,7 @@
     Send,
     Shed,
 )
-from rudderpass.routing import Ending, Usage
+from rudderpass.routing import GrantOutcome, Usage
 from tests.builders import POOL, ZONE, make_work
 
 OWNER, NEW_OWNER = NodeId("10.0.0.1:7000"), NodeId("10.0.0.2:7000")
@@ -56,13 +56,13 @@
         [*entry.receive_grant(NEW_OWNER, make_grant(2, UpstreamId("u2")))]
     )
     assert isinstance(release, Release)
-    assert release.upstream == "u2" and release.usage.ending is Ending.UNUSED
+    assert release.upstream == "u2" and release.usage.outcome is GrantOutcome.UNUSED
 
 
 def test_a_grant_for_a_finished_request_is_released() -> None:
     entry = make_entry()
     assert isinstance(
-        only_message([*entry.finish(R0, Usage(Ending.CANCELLED))]), Cancel
+        only_message([*entry.finish(R0, Usage(GrantOutcome.CANCELLED))]), Cancel
     )
     assert isinstance(
         only_message([*entry.receive_grant(OWNER, make_grant())]), Release
