--- a/src/rudderpass/exchange/__init__.py
+++ b/src/rudderpass/exchange/__init__.py
@@ -1,8 +1,6 @@
 """Exchanges: proxying callers' requests to upstreams of the routed service."""
 
-from rudderpass.exchange._app import (
-    ExchangeApp as ExchangeApp,
-)
+from rudderpass.exchange._app import ExchangeApp as ExchangeApp
 from rudderpass.exchange._assignment import (
     Accepted as Accepted,
     Assignment as Assignment,
@@ -24,9 +22,7 @@
     UpstreamConnection as UpstreamConnection,
     UpstreamConnectionPool as UpstreamConnectionPool,
 )
-from rudderpass.exchange._core import (
-    ExchangeCore as ExchangeCore,
-)
+from rudderpass.exchange._core import ExchangeCore as ExchangeCore
 from rudderpass.exchange._dialect import (
     ExchangeDialect as ExchangeDialect,
     SendContext as SendContext,
@@ -35,9 +31,7 @@
     EventError as EventError,
     EventSplitter as EventSplitter,
 )
-from rudderpass.exchange._health import (
-    UpstreamHealth as UpstreamHealth,
-)
+from rudderpass.exchange._health import UpstreamHealth as UpstreamHealth
 from rudderpass.exchange._load import (
     Load as Load,
     LoadReport as LoadReport,
@@ -48,21 +42,17 @@
     log_leaving as log_leaving,
     log_rate_limit as log_rate_limit,
 )
-from rudderpass.exchange._prefixes import (
-    PrefixIndex as PrefixIndex,
-)
+from rudderpass.exchange._prefixes import PrefixIndex as PrefixIndex
 from rudderpass.exchange._progress import (
     ExchangeContext as ExchangeContext,
     ExchangeOutcome as ExchangeOutcome,
     ExchangeSummary as ExchangeSummary,
 )
-from rudderpass.exchange._prompt_updates import (
-    RESEND_SECONDS as RESEND_SECONDS,
-)
+from rudderpass.exchange._prompt_updates import RESEND_SECONDS as RESEND_SECONDS
 from rudderpass.exchange._rate_limits import (
     HostRank as HostRank,
-    RateLimitUpdate as RateLimitUpdate,
     RateLimits as RateLimits,
+    RateLimitUpdate as RateLimitUpdate,
 )
 from rudderpass.exchange._request import (
     BadRequest as BadRequest,
--- a/src/rudderpass/host/_gossip_protocol.py
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -153,7 +153,8 @@
         if heartbeat.loads is not None:
             self._heartbeat_numbers[heartbeat.sender] = heartbeat.number
             self._core.record_peer_load(
-                heartbeat.sender,LoadReport(heartbeat.loads, heartbeat.reading),
+                heartbeat.sender,
+                LoadReport(heartbeat.loads, heartbeat.reading),
                 heartbeat.zone,
                 now,
             )
@@ -168,7 +169,9 @@
             self._receive_digest(heartbeat.digest, heartbeat.zone, now)
         if self._relaying.is_relay:
             is_own_zone = heartbeat.zone == self._zone
-            self._relaying.enqueue(is_own_zone, heartbeat.prompts, heartbeat.streams, now)
+            self._relaying.enqueue(
+                is_own_zone, heartbeat.prompts, heartbeat.streams, now
+            )
         return is_new
 
     def remove_expired(self, now: float) -> None:
--- a/src/rudderpass/host/_metrics.py
+++ b/src/rudderpass/host/_metrics.py
@@ -101,7 +101,8 @@
             self._sends[end.route] += end.sends
             self._late_pauses[end.route] += end.late_pauses
             self._exchange_times.setdefault(end.route, _LatencyHistogram()).add(
-                end.duration)
+                end.duration
+            )
             if end.first_answer is not None:
                 self._first_response_times.setdefault(
                     end.route, _LatencyHistogram()
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -259,7 +259,9 @@
             holds_duties = self._duties is not None and self._duties.holds
             follows = self._follow_rule.should_follow(now) or holds_duties
             self._is_large = self._follow_rule.is_large(now)
-            self._is_relayed = self._follow_rule.count_hosts(now) >= MIN_HOSTS_FOR_RELAYS
+            self._is_relayed = (
+                self._follow_rule.count_hosts(now) >= MIN_HOSTS_FOR_RELAYS
+            )
         if self._follower is None:
             return
         if follows is not self._follower.is_active:
--- a/tests/exchange/test_rate_limits.py
+++ b/tests/exchange/test_rate_limits.py
@@ -3,12 +3,7 @@
 from __future__ import annotations
 
 from rudderpass._ids import UpstreamId
-from rudderpass.exchange import (
-    RateLimits,
-    RateLimitUpdate,
-    ResponseHead,
-    ResponseKind,
-)
+from rudderpass.exchange import RateLimits, RateLimitUpdate, ResponseHead, ResponseKind
 from tests.directory.builders import make_route, upstream_tombstone
 from tests.exchange.builders import assign, make_core, make_request
 from tests.exchange.harness import answer, raw
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -55,7 +55,9 @@
 
 
 def test_prefill_rates_that_round_to_zero_take_no_bytes() -> None:
-    with_none = encode_heartbeat(make_heartbeat(Load(1, 0, 0.0), (), PrefillRate(0.2, 0.0)))
+    with_none = encode_heartbeat(
+        make_heartbeat(Load(1, 0, 0.0), (), PrefillRate(0.2, 0.0))
+    )
     assert with_none == encode_heartbeat(make_heartbeat(Load(1, 0, 0.0)))
 
 
