--- a/src/rudderpass/exchange/__init__.py
+++ b/src/rudderpass/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""Exchanges: any caller's request, sent to an upstream of its route's service."""
+"""Exchanges: proxying callers' requests to upstreams of the routed service."""
 
 from rudderpass.exchange._app import ExchangeApp as ExchangeApp
 from rudderpass.exchange._assignment import (
@@ -10,62 +10,64 @@
 )
 from rudderpass.exchange._budget import (
     BudgetRule as BudgetRule,
-    RepeatDecision as RepeatDecision,
+    RetryDecision as RetryDecision,
     SharedRetryBudget as SharedRetryBudget,
 )
-from rudderpass.exchange._busy import count_busy as count_busy
 from rudderpass.exchange._choice import (
     Choice as Choice,
-    Knowledge as Knowledge,
+    RoutingState as RoutingState,
     choose_upstream as choose_upstream,
 )
 from rudderpass.exchange._connections import (
     UpstreamConnection as UpstreamConnection,
-    UpstreamConnections as UpstreamConnections,
+    UpstreamConnectionPool as UpstreamConnectionPool,
 )
 from rudderpass.exchange._core import ExchangeCore as ExchangeCore
 from rudderpass.exchange._dialect import (
     ExchangeDialect as ExchangeDialect,
-    SendFacts as SendFacts,
+    SendContext as SendContext,
 )
 from rudderpass.exchange._events import (
     EventError as EventError,
     EventSplitter as EventSplitter,
 )
-from rudderpass.exchange._evidence import UpstreamEvidence as UpstreamEvidence
-from rudderpass.exchange._lines import (
-    log_leaving as log_leaving,
-    log_rate_limit as log_rate_limit,
-)
+from rudderpass.exchange._health import UpstreamHealth as UpstreamHealth
 from rudderpass.exchange._load import (
     Load as Load,
-    LoadBook as LoadBook,
-    Reading as Reading,
-    ToldWork as ToldWork,
+    LoadReport as LoadReport,
+    LoadTracker as LoadTracker,
+    PrefillRate as PrefillRate,
 )
-from rudderpass.exchange._news import RETELL_SECONDS as RETELL_SECONDS
-from rudderpass.exchange._prefixes import PrefixMemory as PrefixMemory
+from rudderpass.exchange._logging import (
+    log_leaving as log_leaving,
+    log_rate_limit as log_rate_limit,
+)
+from rudderpass.exchange._prefixes import PrefixIndex as PrefixIndex
 from rudderpass.exchange._progress import (
-    Ending as Ending,
-    ExchangeEnd as ExchangeEnd,
-    ExchangeParts as ExchangeParts,
+    ExchangeContext as ExchangeContext,
+    ExchangeOutcome as ExchangeOutcome,
+    ExchangeSummary as ExchangeSummary,
 )
+from rudderpass.exchange._prompt_updates import RESEND_SECONDS as RESEND_SECONDS
 from rudderpass.exchange._rate_limits import (
     HostRank as HostRank,
-    RateLimitNews as RateLimitNews,
     RateLimits as RateLimits,
+    RateLimitUpdate as RateLimitUpdate,
 )
 from rudderpass.exchange._request import (
-    AnswerHead as AnswerHead,
-    AnswerKind as AnswerKind,
     BadRequest as BadRequest,
     ExchangeRequest as ExchangeRequest,
     HeadChange as HeadChange,
     Headers as Headers,
     PartId as PartId,
     PromptPart as PromptPart,
+    ResponseHead as ResponseHead,
+    ResponseKind as ResponseKind,
 )
 from rudderpass.exchange._serve import (
     BrokenStream as BrokenStream,
     Exchange as Exchange,
 )
+from rudderpass.exchange._utilization import (
+    estimate_busy_upstreams as estimate_busy_upstreams,
+)
--- a/src/rudderpass/node/_node.py
+++ b/src/rudderpass/node/_node.py
@@ -56,7 +56,7 @@
 
     def record_progress(self, request_id: RequestId, tokens: int) -> None:
         """Report the tokens that a running request has produced so far."""
-        self._runtime.core.note_progress(request_id, tokens)
+        self._runtime.core.record_progress(request_id, tokens)
 
     def shed_lowest(self, reason: str) -> None:
         """Shed the newest waiting request of the lowest tier."""
--- a/src/rudderpass/node/_runtime.py
+++ b/src/rudderpass/node/_runtime.py
@@ -104,14 +104,14 @@
     def apply_config(self, state: ConfigState, source: str) -> None:
         """Apply a configuration, unless a newer one is in force."""
         with self._lock:
-            self._execute_all(self._core.take_config(state, source, time.monotonic()))
+            self._execute_all(self._core.apply_config(state, source, time.monotonic()))
             self._apply_leaving_upstreams()
 
     def apply_hosts(self, hosts: HostList) -> None:
         """Apply the platform's host list."""
         with self._lock:
             self._hosts = hosts
-            self._execute_all(self._core.take_hosts(hosts.nodes, time.monotonic()))
+            self._execute_all(self._core.set_hosts(hosts.nodes, time.monotonic()))
             self._apply_leaving_upstreams()
 
     def leave(self) -> None:
@@ -127,7 +127,7 @@
             if spec.address in addresses
         ]
         now = time.monotonic()
-        self._execute_all(self._core.take_leaving_upstreams(leaving, now))
+        self._execute_all(self._core.set_leaving_upstreams(leaving, now))
 
     def _receive(self, sender: NodeId, messages: Sequence[PeerMessage]) -> None:
         with self._lock:
@@ -139,9 +139,9 @@
         with self._lock:
             now = time.monotonic()
             if succeeded:
-                self._execute_all(self._core.note_reachable(peer, now))
+                self._execute_all(self._core.record_reachable(peer, now))
             else:
-                self._execute_all(self._core.note_unreachable(peer, now))
+                self._execute_all(self._core.record_unreachable(peer, now))
 
     def _log_peer_error(self, text: str) -> None:
         log("peer", f"{text}.", node=self._core.node)
