--- a/src/rudderpass/__main__.py
+++ b/src/rudderpass/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m rudderpass``."""
+"""Entry point of ``python -m rudderpass``."""
 
 from rudderpass.cli import main
 
--- a/src/rudderpass/_ids.py
+++ b/src/rudderpass/_ids.py
@@ -1,4 +1,4 @@
-"""Identifiers used across the slices, as distinct types."""
+"""Identifiers that several packages use, as distinct types."""
 
 from typing import NewType
 
@@ -6,7 +6,7 @@
 """A node's address, ``ip:port`` of its peer port."""
 
 RequestId = NewType("RequestId", str)
-"""One caller request; unique over all nodes."""
+"""One request of a caller; unique across all nodes."""
 
 TeamId = NewType("TeamId", str)
 ClassName = NewType("ClassName", str)
@@ -14,20 +14,20 @@
 AvailabilityZone = NewType("AvailabilityZone", str)
 
 Fingerprint = NewType("Fingerprint", bytes)
-"""What all repetitions of one request share; their ids differ."""
+"""Shared by all retries of one request, whose ids differ."""
 
 UpstreamId = NewType("UpstreamId", str)
-"""One start of an upstream: what it holds and what is known of it end with it."""
+"""One instance of an upstream: a restart discards its state and what is known of it."""
 
 UpstreamName = NewType("UpstreamName", str)
-"""The id under which an upstream registers; it may keep it when it starts again."""
+"""The id under which an upstream registers; it may keep the id when it restarts."""
 
 PoolId = NewType("PoolId", str)
 """The runner whose upstreams share one queue."""
 
 Version = NewType("Version", int)
-"""A configuration version: one more than the offset of the log record that
-made it, so that 0 is the empty configuration."""
+"""A configuration version: one more than the offset of the log record that created it,
+so that 0 is the empty configuration."""
 
 FencingToken = NewType("FencingToken", int)
-"""Rises with each change of a duty's holder; the platform refuses lower ones."""
+"""Increases with each change of a duty's holder; the platform rejects lower ones."""
--- a/src/rudderpass/_sockets.py
+++ b/src/rudderpass/_sockets.py
@@ -1,4 +1,4 @@
-"""Options of TCP sockets towards peers that may lose their power without a word."""
+"""Options of TCP sockets to peers that may lose power without closing connections."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
 USER_TIMEOUT_MS = 3000
-"""Together these notice a silent peer within about three seconds, which is the time
-within which the users' platform counts a host as out of touch."""
+"""Together these detect a silent peer within about three seconds, the time after which
+the users' platform considers a host unreachable."""
 
 
-def watch_liveness(sock: socket.socket) -> None:
-    """Send at once, and notice a peer that has gone silent."""
+def set_tcp_options(sock: socket.socket) -> None:
+    """Send data without delay, and detect a peer that has gone silent."""
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
--- a/src/rudderpass/_thrift.py
+++ b/src/rudderpass/_thrift.py
@@ -1,4 +1,4 @@
-"""Thrift structs as bytes in the compact protocol, and back."""
+"""Encodes and decodes thrift structs in the compact protocol."""
 
 from __future__ import annotations
 
@@ -11,26 +11,33 @@
 from rudderpass.errors import PeerError
 
 _PROTOCOL = TCompactProtocolAcceleratedFactory()
-_S = TypeVar("_S")
+_Struct = TypeVar("_Struct")
 
-_BAD_BYTES = (TException, EOFError, ValueError, TypeError, OverflowError, MemoryError)
-"""All that the library's decoder raises for bytes that are no struct (found by fuzzing:
-a length beyond its integers, and one beyond the memory)."""
+_DECODE_ERRORS = (
+    TException,
+    EOFError,
+    ValueError,
+    TypeError,
+    OverflowError,
+    MemoryError,
+)
+"""All that the library's decoder raises for bytes that are not a struct. Fuzzing found
+a length beyond its integer range, and one beyond the memory."""
 
 
 def encode_struct(value: Any) -> bytes:
-    """Return a struct's bytes."""
+    """Encode a struct."""
     return bytes(serialize(value, protocol_factory=_PROTOCOL))
 
 
-def decode_struct(empty: _S, data: bytes) -> _S:
-    """Fill ``empty`` from ``data`` and return it.
+def decode_struct(empty: _Struct, data: bytes) -> _Struct:
+    """Decode ``data`` into ``empty`` and return it.
 
-    :raises PeerError: when the bytes are no such struct.
+    :raises PeerError: when the bytes are not such a struct.
     """
     try:
-        filled: _S = deserialize(empty, data, protocol_factory=_PROTOCOL)
-    except _BAD_BYTES as error:
+        filled: _Struct = deserialize(empty, data, protocol_factory=_PROTOCOL)
+    except _DECODE_ERRORS as error:
         name = type(empty).__name__
         text = f"not a {name}: {type(error).__name__} {error}"
         raise PeerError(text, step="decode") from error
--- a/src/rudderpass/cli/_demo.py
+++ b/src/rudderpass/cli/_demo.py
@@ -11,7 +11,7 @@
 
 from rudderpass.cli._base import json_option, print_json, quiet_libraries
 from rudderpass.demo import DemoOptions, World, render, run_demo, token_of
-from rudderpass.errors import PromiseBroken, SettingsError
+from rudderpass.errors import GuaranteeViolated, SettingsError
 from rudderpass.observe import LogFile
 from rudderpass.replay import read_trace
 
@@ -85,7 +85,7 @@
     else:
         click.echo(render(result))
     if not result.kept:
-        raise PromiseBroken("a promise was broken", step="demo")
+        raise GuaranteeViolated("a promise was broken", step="demo")
 
 
 def _serve(directory: Path) -> None:
--- a/src/rudderpass/cli/_logs.py
+++ b/src/rudderpass/cli/_logs.py
@@ -11,15 +11,15 @@
 
 from rudderpass.errors import SettingsError
 from rudderpass.observe import (
+    InFlightState,
     LogRecord,
-    OccupantState,
     count_crashes,
     find_crashes,
     find_failures,
     find_occupancy,
     read_records,
     render_lines,
-    render_story,
+    render_timeline,
 )
 
 SHOWN_REQUESTS = 3
@@ -74,7 +74,7 @@
     elif upstream is not None and at is not None:
         _show_occupancy(files, upstream, at)
     elif request is not None and len(files) > 1:
-        for line in render_story(_read_all(files), request):
+        for line in render_timeline(_read_all(files), request):
             click.echo(line)
     else:
         for file in files:
@@ -92,7 +92,7 @@
     for group in groups:
         shown = " ".join(group.requests[:SHOWN_REQUESTS])
         click.echo(
-            f"{len(group.requests):5} {group.ending} {group.status} {group.cause}"
+            f"{len(group.requests):5} {group.outcome} {group.status} {group.cause}"
         )
         click.echo(f"      {shown}")
     total = sum(len(group.requests) for group in groups)
@@ -110,7 +110,7 @@
             state = "answered" if send.had_answered else "silent"
             click.echo(
                 f"      {send.fingerprint or '?'} {send.request} from {send.host}"
-                f" after {send.under_way_for:.3f} s, {state}"
+                f" after {send.elapsed:.3f} s, {state}"
             )
     for fingerprint, count in count_crashes(crashes):
         click.echo(f"{count:5} upstreams crashed under {fingerprint}")
@@ -119,9 +119,9 @@
 
 def _show_occupancy(files: tuple[TextIO, ...], upstream: str, at: float) -> None:
     occupancy = find_occupancy(_read_all(files), upstream, at)
-    counts: Counter[tuple[int, int, int | None, OccupantState]] = Counter()
-    tokens: Counter[tuple[int, int, int | None, OccupantState]] = Counter()
-    for one in occupancy.occupants:
+    counts: Counter[tuple[int, int, int | None, InFlightState]] = Counter()
+    tokens: Counter[tuple[int, int, int | None, InFlightState]] = Counter()
+    for one in occupancy.requests:
         key = (one.rank, one.route_tier, one.team_tier, one.state)
         counts[key] += 1
         tokens[key] += one.tokens
@@ -133,6 +133,6 @@
             f" team_tier={team} tokens={tokens[key]}"
         )
     click.echo(
-        f"{len(occupancy.occupants)} requests at {upstream}; the last choice believed"
-        f" {occupancy.under_way} under way, slots {occupancy.slots}"
+        f"{len(occupancy.requests)} requests at {upstream}; the last choice believed"
+        f" {occupancy.in_flight} under way, slots {occupancy.slots}"
     )
--- a/src/rudderpass/directory/_follower.py
+++ b/src/rudderpass/directory/_follower.py
@@ -61,7 +61,7 @@
         :raises PlatformError: when the store does not answer.
         """
 
-    def read_after(self, topic: str, offset: int, wait: float) -> KeyedPage:
+    def read_from(self, topic: str, offset: int, wait: float) -> KeyedPage:
         """Return records from ``offset`` on, waiting for the first.
 
         :raises HistoryLost: when they are no longer kept.
@@ -296,7 +296,7 @@
         with self._guard:
             offset = topic.end()
         began = self._clock.now()
-        page = self._store.read_after(topic.topic, offset, wait)
+        page = self._store.read_from(topic.topic, offset, wait)
         heard = self._clock.now()
         if heard - began > wait + SLOWEST_ANSWER_SECONDS:
             heard = began  # The host slept meanwhile; the answer may be as old.
--- a/src/rudderpass/errors.py
+++ b/src/rudderpass/errors.py
@@ -1,7 +1,7 @@
-"""The error tree.
+"""The exception hierarchy.
 
-Every member knows how to show itself to a user (message, hint, exit code), and
-carries the step and the peer at which it arose where there is one.
+Every exception carries what is shown to a user (message, hint, exit code), and the step
+and the peer at which it arose, if there is one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     :param message: one sentence for the user.
     :param hint: what the user can do about it.
     :param step: the step that failed, for example ``"append"``.
-    :param peer: the other side, for example an upstream's address.
+    :param peer: the remote side, for example an upstream's address.
 
     .. versionadded:: 0.1
     """
@@ -66,7 +66,7 @@
 
 
 class PlatformError(RudderpassError):
-    """A service of the platform did not answer as it should."""
+    """A service of the platform did not respond, or responded with an error."""
 
 
 class UnusableReason(Enum):
@@ -89,21 +89,21 @@
 
 
 class ConnectionLost(PlatformError):
-    """A connection that had served before brought no answer.
+    """A reused connection failed before a response arrived.
 
-    That says nothing of the service, which may answer on a new connection.
+    The service may still be available on a new connection.
     """
 
 
 class PeerError(RudderpassError):
-    """Another node could not be reached or refused a message."""
+    """Another node could not be reached, or refused or sent an invalid message."""
 
 
 class UpstreamError(RudderpassError):
     """An upstream failed.
 
     :param sent: whether any byte of the request may have left this host.
-    :param refused: whether the upstream itself said that it did not run it.
+    :param refused: whether the upstream itself reported that it did not run it.
     :param retry_after: seconds that the upstream asked to wait before further requests;
         None if it sent no valid value.
 
@@ -127,26 +127,26 @@
 
 
 class UpstreamReplaced(UpstreamError):
-    """Another upstream has the address of the one that was meant."""
+    """The address now belongs to another upstream than the intended one."""
 
 
 class ConnectionCut(UpstreamError):
-    """A connection ended before the answer did; its upstream may have ended too."""
+    """A connection broke before the response was complete; its upstream may be down."""
 
 
 class StaleConnection(ConnectionCut):
-    """A kept connection had been closed by the time it was used again."""
+    """A kept-alive connection had been closed by the time it was reused."""
 
 
-class NobodyListens(UpstreamError):
-    """An upstream's machine refuses connections to the upstream's port."""
+class ConnectionRefused(UpstreamError):
+    """No process listens on the upstream's port: its machine refuses connections."""
 
 
 class CallerGone(RudderpassError):
     """The caller closed its connection."""
 
 
-class PromiseBroken(RudderpassError):
-    """A check of the demo or of a replay found a broken promise."""
+class GuaranteeViolated(RudderpassError):
+    """A check of the demo or of a replay found that a guarantee was violated."""
 
     exit_code = 3
--- a/src/rudderpass/exchange/_connections.py
+++ b/src/rudderpass/exchange/_connections.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from rudderpass import _clock
-from rudderpass._sockets import watch_liveness
-from rudderpass.errors import NobodyListens, UpstreamError
+from rudderpass._sockets import set_tcp_options
+from rudderpass.errors import ConnectionRefused, UpstreamError
 from rudderpass.exchange._request import ExchangeRequest, Headers
 
 CONNECT_SECONDS = 0.4
@@ -162,11 +162,11 @@
             connection.connect()
         except OSError as error:
             is_refused = isinstance(error, ConnectionRefusedError)
-            error_type = NobodyListens if is_refused else UpstreamError
+            error_type = ConnectionRefused if is_refused else UpstreamError
             raise error_type(
                 f"could not connect: {error}", sent=False, step="connect", peer=address
             ) from error
-        watch_liveness(connection.sock)
+        set_tcp_options(connection.sock)
         return UpstreamConnection(connection, address, is_reused=False)
 
     def has_crashed(self, address: str) -> bool:
@@ -195,7 +195,7 @@
     def _refuses(self, address: str) -> bool:
         try:
             connection = self.open(address, False, CRASH_CHECK_SECONDS)
-        except NobodyListens:
+        except ConnectionRefused:
             return True
         except UpstreamError:
             return False  # Silence: the link may be cut.
--- a/src/rudderpass/exchange/_lines.py
+++ b/src/rudderpass/exchange/_lines.py
@@ -4,7 +4,7 @@
 
 from rudderpass import _clock
 from rudderpass._ids import Fingerprint, NodeId, UpstreamId
-from rudderpass.errors import ConnectionCut, NobodyListens, UpstreamError
+from rudderpass.errors import ConnectionCut, ConnectionRefused, UpstreamError
 from rudderpass.eventlog import log, round_age
 from rudderpass.exchange._assignment import Accepted, Assignment, Refused
 from rudderpass.exchange._budget import RepeatDecision
@@ -97,7 +97,7 @@
         repeats_left=None if repeat is None else round(repeat.left, 2),
         repeats_shared_by=None if repeat is None else repeat.hosts,
         cut=isinstance(error, ConnectionCut),
-        nobody_listens=isinstance(error, NobodyListens),
+        nobody_listens=isinstance(error, ConnectionRefused),
         had_answered=assigned.is_answering,
         under_way_for=round(_clock.now() - assigned.sent, 4),
         fingerprint=None if fingerprint is None else fingerprint.hex(),
--- a/src/rudderpass/exchange/_vetting.py
+++ b/src/rudderpass/exchange/_vetting.py
@@ -10,7 +10,7 @@
 from rudderpass.errors import (
     CallerGone,
     ConnectionCut,
-    NobodyListens,
+    ConnectionRefused,
     StaleConnection,
     UpstreamError,
 )
@@ -115,7 +115,7 @@
         self.close()
         if isinstance(error, UpstreamFailed):
             self.note_whole_answer()
-        if isinstance(error, NobodyListens):
+        if isinstance(error, ConnectionRefused):
             self._note_crashed(assigned)
         if not isinstance(error, ConnectionCut):
             return True
--- a/src/rudderpass/gateway/_recording.py
+++ b/src/rudderpass/gateway/_recording.py
@@ -44,7 +44,7 @@
         if self.service_class is None:
             return
         metrics = self._services.metrics
-        metrics.record_answer(self.service_class, outcome, None)
+        metrics.record_response(self.service_class, outcome, None)
         if outcome is not Outcome.COMPLETED and produced:
             metrics.record_tokens(self.service_class, 0, produced)
 
@@ -64,7 +64,7 @@
         attained = None
         if spec is not None:
             attained = self._has_attained(spec.targets, whole, tokens)
-        metrics.record_answer(name, Outcome.COMPLETED, attained)
+        metrics.record_response(name, Outcome.COMPLETED, attained)
 
     def _has_attained(self, targets: Targets, whole: float, tokens: int) -> bool:
         first_token = whole if self._first_token is None else self._first_token
--- a/src/rudderpass/host/_command.py
+++ b/src/rudderpass/host/_command.py
@@ -32,7 +32,7 @@
     PlatformDialect,
     decode_config,
     decode_upstream,
-    read_kept_parts,
+    read_cached_parts,
     read_settings_file,
 )
 
@@ -51,7 +51,7 @@
         store=store,
         dialect=PlatformDialect(),
         decoders=Decoders(decode_config, decode_upstream),
-        read_parts=read_kept_parts,
+        read_parts=read_cached_parts,
         config_key=CONFIG_KEY,
         config_topic=CONFIG_TOPIC,
         upstreams_topic=UPSTREAMS_TOPIC,
--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -283,7 +283,7 @@
         subject = action.subject
         result, word = CallResult.DONE, "not made, a dry run"
         if not self._is_dry_run:
-            result = self._access.platform.order_upstreams(
+            result = self._access.platform.set_desired_count(
                 self._name, action.token, subject, action.count
             )
             word = result.value
@@ -316,7 +316,7 @@
 
     def _append(self, end: int, key: str, value: bytes) -> bool:
         try:
-            is_written = self._access.store.append_at(
+            is_written = self._access.store.compare_and_append(
                 self._access.topic, end, key, value
             )
         except PlatformError as error:
--- a/src/rudderpass/host/_duty_access.py
+++ b/src/rudderpass/host/_duty_access.py
@@ -34,7 +34,7 @@
         :raises PlatformError: when the store does not answer.
         """
 
-    def append_at(self, topic: str, end: int, key: str, value: bytes) -> bool:
+    def compare_and_append(self, topic: str, end: int, key: str, value: bytes) -> bool:
         """Write a record if the topic still ends at ``end``; tell whether it was.
 
         :raises PlatformError: when nobody knows.
@@ -49,7 +49,7 @@
     ) -> CallResult:
         """Report a window's usage."""
 
-    def order_upstreams(
+    def set_desired_count(
         self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
     ) -> CallResult:
         """Order a number of upstreams."""
--- a/src/rudderpass/host/_waking.py
+++ b/src/rudderpass/host/_waking.py
@@ -33,11 +33,11 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._counted = _clock.read_suspended()
+        self._counted = _clock.suspended_seconds()
 
     def take_slept(self) -> float:
         """Return for how many seconds the machine slept since the last call, if so."""
-        suspended = _clock.read_suspended()
+        suspended = _clock.suspended_seconds()
         if suspended - self._counted < SLEPT_SECONDS:
             return 0.0
         with self._lock:
--- a/src/rudderpass/hostd.py
+++ b/src/rudderpass/hostd.py
@@ -1,7 +1,7 @@
-"""Start a host: listen first, load the rest afterwards.
+"""Start a host: listen first, and import the rest afterwards.
 
-Loading takes a fifth of a second of processor time. A caller who connects meanwhile
-waits that long, where it would be turned away otherwise.
+Importing takes a fifth of a second of CPU time. A caller that connects meanwhile waits
+that long instead of being refused.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 LISTEN_FLAG = "--listen"
 BACKLOG = 1024
-"""Callers that may wait for the host to load; the same as the server's own."""
+"""Connections that may wait for the host to start; the same as the server's backlog."""
 
 
-def find_listen(arguments: list[str]) -> str | None:
-    """Return the value of ``--listen`` among command-line arguments."""
+def find_listen_address(arguments: list[str]) -> str | None:
+    """Return the value of ``--listen`` from command-line arguments."""
     for position, argument in enumerate(arguments):
         name, has_value, value = argument.partition("=")
         if name != LISTEN_FLAG:
@@ -30,8 +30,8 @@
 def open_listener(address: str) -> socket.socket:
     """Return a socket that listens on ``ip:port``.
 
-    :raises OSError: when that cannot be done.
-    :raises ValueError: when it is no address.
+    :raises OSError: when the socket cannot be bound.
+    :raises ValueError: when the address is not valid.
     """
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -42,11 +42,11 @@
 
 
 def main() -> None:
-    """Run ``rudderpass host`` with a listener that is open already."""
-    # Until the handler is there, a reload would end the process: one in the first 0.3 s
-    # of a host did. What it asks for, the settings read below, comes after it anyway.
+    """Run ``rudderpass host`` with a listener that is already open."""
+    # Until the handler is installed, SIGHUP would end the process, as a reload in the
+    # first 0.3 s of a host did. Ignoring it is safe: the settings are read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    address = find_listen(sys.argv[1:])
+    address = find_listen_address(sys.argv[1:])
     listener = None
     if address is not None:
         try:
--- a/src/rudderpass/observe/__init__.py
+++ b/src/rudderpass/observe/__init__.py
@@ -18,9 +18,9 @@
     NodeMetrics as NodeMetrics,
 )
 from rudderpass.observe._occupancy import (
+    InFlightRequest as InFlightRequest,
+    InFlightState as InFlightState,
     Occupancy as Occupancy,
-    Occupant as Occupant,
-    OccupantState as OccupantState,
     find_occupancy as find_occupancy,
 )
 from rudderpass.observe._records import (
@@ -29,5 +29,5 @@
 )
 from rudderpass.observe._render import (
     render_lines as render_lines,
-    render_story as render_story,
+    render_timeline as render_timeline,
 )
--- a/src/rudderpass/observe/_crashes.py
+++ b/src/rudderpass/observe/_crashes.py
@@ -1,4 +1,4 @@
-"""Tell from hosts' logs which upstreams crashed, and which requests they ran then."""
+"""Find crashed upstreams in hosts' logs, and the requests that they were running."""
 
 from __future__ import annotations
 
@@ -8,31 +8,32 @@
 
 from rudderpass.observe._records import LogRecord
 
-_ATTEMPT_PART = "attempt"
+_ATTEMPT_TYPE = "attempt"
 
-REFUSAL_SECONDS = 5.0
-"""Within so long after its connections were cut an upstream's port refuses others if
-it crashed. One that goes on to serve was only cut off."""
+REFUSAL_WINDOW_SECONDS = 5.0
+"""After a crash, the upstream's port refuses connections within this time after others
+were cut. An upstream that continues to serve only lost its connections."""
 
 
 @dataclass(frozen=True)
 class CutSend:
-    """A send whose connection ended with its upstream. Times are seconds.
+    """A send whose connection broke when its upstream crashed. Times are seconds.
 
-    :param fingerprint: alike for all repetitions of one request; empty if not logged.
-    :param had_answered: whether the answer had begun.
+    :param fingerprint: the same for all retries of one request; empty if not logged.
+    :param elapsed: from the send until the connection broke.
+    :param had_answered: whether the response had begun.
     """
 
     fingerprint: str
     request: str
     host: str
-    under_way_for: float
+    elapsed: float
     had_answered: bool
 
 
 @dataclass(frozen=True)
 class CrashedUpstream:
-    """An upstream that crashed, and the sends that were under way there.
+    """An upstream that crashed, and the sends that were in flight there.
 
     :param at: when the first of them was cut, seconds since the epoch.
     """
@@ -43,29 +44,32 @@
 
 
 def find_crashes(records: Iterable[LogRecord]) -> list[CrashedUpstream]:
-    """Return the upstreams whose port refused connections after it cut some."""
+    """Return the upstreams whose port refused connections after some were cut."""
     cuts: dict[str, list[LogRecord]] = defaultdict(list)
     refusals: dict[str, list[float]] = defaultdict(list)
-    for record in sorted(records, key=lambda record: record.at):
-        if record.part != _ATTEMPT_PART:
+    for record in sorted(records, key=lambda record: record.timestamp):
+        if record.message_type != _ATTEMPT_TYPE:
             continue
         upstream = str(record.fields.get("upstream", ""))
         if record.fields.get("cut"):
             cuts[upstream].append(record)
         elif record.fields.get("nobody_listens"):
-            refusals[upstream].append(record.at)
+            refusals[upstream].append(record.timestamp)
     crashes = [
-        CrashedUpstream(upstream, cut[0].at, tuple(map(_read_send, cut)))
+        CrashedUpstream(upstream, cut[0].timestamp, tuple(map(_read_send, cut)))
         for upstream, cut in cuts.items()
-        if any(0.0 <= at - cut[-1].at <= REFUSAL_SECONDS for at in refusals[upstream])
+        if any(
+            0.0 <= at - cut[-1].timestamp <= REFUSAL_WINDOW_SECONDS
+            for at in refusals[upstream]
+        )
     ]
     return sorted(crashes, key=lambda crash: crash.at)
 
 
 def count_crashes(crashes: Iterable[CrashedUpstream]) -> list[tuple[str, int]]:
-    """Return how many upstreams crashed under each request, most first.
+    """Return how many upstreams crashed while running each request, most first.
 
-    Only requests under which more than one did.
+    Omits requests with a single crash.
     """
     counts = Counter(
         fingerprint
--- a/src/rudderpass/observe/_decisions.py
+++ b/src/rudderpass/observe/_decisions.py
@@ -1,7 +1,7 @@
 """Structured logs: one eliot line for each decision.
 
-Each line has a short sentence in ``text``, begun by the prefix of its part, and the
-same facts as fields.
+Each line has a short sentence in ``text``, prefixed with its message type, and the same
+facts as fields.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from rudderpass.eventlog import log
 from rudderpass.pools import Granted, Refused, RoutingDecision
 
-_MAX_NAMES = 12
-"""Candidates and ruled-out upstreams listed in full; the rest is counted."""
+_MAX_LISTED = 12
+"""Candidates and ruled-out upstreams listed by name; the rest is only counted."""
 
 
 @singledispatch
@@ -23,7 +23,7 @@
 
 @log_action.register
 def _(action: RoutingDecision, node: str) -> None:
-    ruled_out = {out.upstream: out.reason for out in action.ruled_out[:_MAX_NAMES]}
+    ruled_out = {out.upstream: out.reason for out in action.ruled_out[:_MAX_LISTED]}
     chosen = action.chosen or "nowhere"
     log(
         "route",
@@ -33,7 +33,7 @@
         pool=action.pool,
         chosen=action.chosen,
         waited=round(action.waited, 4),
-        candidates=list(action.candidates[:_MAX_NAMES]),
+        candidates=list(action.candidates[:_MAX_LISTED]),
         ruled_out=ruled_out,
         candidate_count=len(action.candidates),
         ruled_out_count=len(action.ruled_out),
--- a/src/rudderpass/observe/_metrics.py
+++ b/src/rudderpass/observe/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one node, exposed in Prometheus format."""
+"""Counters and latency histograms of one node, in the Prometheus format."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from rudderpass.streams import Outcome
 
 _MICROSECONDS = 1_000_000
-_LONGEST_SECONDS = 3600
+_MAX_LATENCY_SECONDS = 3600
 _SIGNIFICANT_DIGITS = 2
 _QUANTILES = (0.5, 0.95, 0.99)
 
 
 class Latency(Enum):
-    """The latencies that are kept by class."""
+    """The latencies that are recorded for each class."""
 
     WAIT = "wait"
     FIRST_TOKEN = "first_token"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Gauges:
-    """Values of the moment."""
+    """Current values of a node."""
 
     waiting: int
     running: int
@@ -49,9 +49,9 @@
 
 
 class NodeMetrics(Collector):
-    """What one node counted since its start.
+    """The metrics of one node since its start.
 
-    :param gauges: returns the values of the moment.
+    :param gauges: returns the current values.
 
     .. versionadded:: 0.1
     """
@@ -60,7 +60,7 @@
         self._gauges = gauges
         self._lock = threading.Lock()
         self._latencies: dict[tuple[Latency, ClassName], HdrHistogram] = {}
-        self._answers: Counter[tuple[ClassName, Outcome]] = Counter()
+        self._responses: Counter[tuple[ClassName, Outcome]] = Counter()
         self._attained: Counter[tuple[ClassName, bool]] = Counter()
         self._tokens: Counter[ClassName] = Counter()
         self._wasted: Counter[ClassName] = Counter()
@@ -72,40 +72,40 @@
         self, latency: Latency, service_class: ClassName, seconds: float
     ) -> None:
         """Record one latency."""
-        value = int(min(max(seconds, 0.0), _LONGEST_SECONDS) * _MICROSECONDS)
+        value = int(min(max(seconds, 0.0), _MAX_LATENCY_SECONDS) * _MICROSECONDS)
         key = (latency, service_class)
         with self._lock:
             histogram = self._latencies.get(key)
             if histogram is None:
-                longest = _LONGEST_SECONDS * _MICROSECONDS
-                histogram = HdrHistogram(1, longest, _SIGNIFICANT_DIGITS)
+                max_value = _MAX_LATENCY_SECONDS * _MICROSECONDS
+                histogram = HdrHistogram(1, max_value, _SIGNIFICANT_DIGITS)
                 self._latencies[key] = histogram
             histogram.record_value(max(1, value))
 
-    def record_answer(
+    def record_response(
         self, service_class: ClassName, outcome: Outcome, attained: bool | None
     ) -> None:
-        """Count one answer; ``attained`` is None when no target applied."""
+        """Count one response; ``attained`` is None if no target applied."""
         with self._lock:
-            self._answers[service_class, outcome] += 1
+            self._responses[service_class, outcome] += 1
             if attained is not None:
                 self._attained[service_class, attained] += 1
 
     def record_tokens(
         self, service_class: ClassName, delivered: int, wasted: int
     ) -> None:
-        """Count tokens of whole answers, and tokens whose work was lost."""
+        """Count tokens of complete responses, and tokens whose work was wasted."""
         with self._lock:
             self._tokens[service_class] += delivered
             self._wasted[service_class] += wasted
 
     def record_retry(self, service_class: ClassName) -> None:
-        """Count one further attempt."""
+        """Count one retry."""
         with self._lock:
             self._retries[service_class] += 1
 
     def expose(self) -> bytes:
-        """Return everything in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
@@ -140,12 +140,12 @@
             yield totals
 
     def _collect_counters(self) -> Iterator[Metric]:
-        answers = CounterMetricFamily(
+        responses = CounterMetricFamily(
             "rudderpass_answers", "Answers by outcome", labels=("class", "outcome")
         )
-        for (name, outcome), count in self._answers.items():
-            answers.add_metric((name, outcome.value), count)
-        yield answers
+        for (name, outcome), count in self._responses.items():
+            responses.add_metric((name, outcome.value), count)
+        yield responses
         attained = CounterMetricFamily(
             "rudderpass_targets",
             "Completed answers by whether they met the class's targets",
--- a/src/rudderpass/observe/_occupancy.py
+++ b/src/rudderpass/observe/_occupancy.py
@@ -1,4 +1,4 @@
-"""Tell from hosts' logs what an upstream had under way at one moment."""
+"""Find in hosts' logs the requests in flight at an upstream at a given time."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from rudderpass.observe._records import LogRecord
 
-_ROUTE_PART = "route"
-_ATTEMPT_PART = "attempt"
-_PAUSE_PART = "pause"
-_ANSWER_PART = "answer"
+_ROUTE_TYPE = "route"
+_ATTEMPT_TYPE = "attempt"
+_PAUSE_TYPE = "pause"
+_ANSWER_TYPE = "answer"
 
 
-class OccupantState(Enum):
-    """What a request was doing at an upstream."""
+class InFlightState(Enum):
+    """The state of a request at an upstream."""
 
     RUNNING = "running"
     WAITING = "waiting"
@@ -24,13 +24,13 @@
 
 
 @dataclass(frozen=True)
-class Occupant:
-    """One request at the upstream. Times are seconds since the epoch.
+class InFlightRequest:
+    """A request in flight at the upstream. Times are seconds since the epoch.
 
-    :param rank: sent to the upstream as its urgency; 0 is the most urgent.
-    :param tokens: of its prompt and the most of its answer.
-    :param state: paused where its events stood still, beyond the route's target;
-        unknown where no end was logged, so that nothing tells when it began.
+    :param rank: the priority sent to the upstream; 0 is the most urgent.
+    :param tokens: of its prompt, plus the maximum of its output.
+    :param state: paused while its events stalled for longer than the route's target;
+        unknown if no end was logged, since then the start of the response is unknown.
     """
 
     request: str
@@ -39,118 +39,132 @@
     team_tier: int | None
     tokens: int
     sent: float
-    state: OccupantState
+    state: InFlightState
 
 
 @dataclass(frozen=True)
 class Occupancy:
-    """What an upstream had under way, the most urgent and oldest first.
+    """The requests in flight at an upstream, the most urgent and oldest first.
 
-    :param under_way: how many requests the host that chose it last believed there.
-    :param slots: how many it works on at once, as that host knew it.
+    :param in_flight: number of requests in flight there, as last estimated by the host
+        that chose the upstream.
+    :param slots: how many requests it runs at once, as known to that host.
     """
 
-    occupants: tuple[Occupant, ...]
-    under_way: int | None
+    requests: tuple[InFlightRequest, ...]
+    in_flight: int | None
     slots: int | None
 
 
 @dataclass
-class _Story:
-    """What the logs say of one request, in time's order."""
+class _RequestHistory:
+    """The log records of one request, by message type and in order of time."""
 
     sends: list[LogRecord] = field(default_factory=list)
-    failed: list[LogRecord] = field(default_factory=list)
+    failures: list[LogRecord] = field(default_factory=list)
     pauses: list[LogRecord] = field(default_factory=list)
-    answer: LogRecord | None = None
+    response: LogRecord | None = None
 
 
 def find_occupancy(records: Iterable[LogRecord], upstream: str, at: float) -> Occupancy:
-    """Return what an upstream had under way at a moment.
+    """Return the requests in flight at an upstream at a given time.
 
     :param at: seconds since the epoch.
     """
-    ordered = sorted(records, key=lambda record: record.at)
-    occupants = [
-        occupant
-        for request, story in _read_stories(ordered).items()
-        if (occupant := _find_occupant(request, story, upstream, at)) is not None
+    ordered = sorted(records, key=lambda record: record.timestamp)
+    requests = [
+        found
+        for request, history in _group_by_request(ordered).items()
+        if (found := _find_request(request, history, upstream, at)) is not None
     ]
-    occupants.sort(key=lambda occupant: (occupant.rank, occupant.sent))
-    last = _last_choice(ordered, upstream, at)
+    requests.sort(key=lambda request: (request.rank, request.sent))
+    last = _find_last_decision(ordered, upstream, at)
     if last is None:
-        return Occupancy(tuple(occupants), None, None)
+        return Occupancy(tuple(requests), None, None)
     return Occupancy(
-        tuple(occupants), last.fields.get("under_way"), last.fields.get("slots")
+        tuple(requests), last.fields.get("under_way"), last.fields.get("slots")
     )
 
 
-def _read_stories(records: Iterable[LogRecord]) -> dict[str, _Story]:
-    stories: dict[str, _Story] = {}
+def _group_by_request(records: Iterable[LogRecord]) -> dict[str, _RequestHistory]:
+    histories: dict[str, _RequestHistory] = {}
     for record in records:
         if not record.request:
             continue
-        story = stories.setdefault(record.request, _Story())
-        if record.part == _ROUTE_PART:
-            story.sends.append(record)
-        elif record.part == _ATTEMPT_PART:
-            story.failed.append(record)
-        elif record.part == _PAUSE_PART:
-            story.pauses.append(record)
-        elif record.part == _ANSWER_PART:
-            story.answer = record
-    return stories
-
-
-def _last_choice(
+        history = histories.setdefault(record.request, _RequestHistory())
+        if record.message_type == _ROUTE_TYPE:
+            history.sends.append(record)
+        elif record.message_type == _ATTEMPT_TYPE:
+            history.failures.append(record)
+        elif record.message_type == _PAUSE_TYPE:
+            history.pauses.append(record)
+        elif record.message_type == _ANSWER_TYPE:
+            history.response = record
+    return histories
+
+
+def _find_last_decision(
     records: Iterable[LogRecord], upstream: str, at: float
 ) -> LogRecord | None:
-    choices = [
+    decisions = [
         record
         for record in records
-        if record.at <= at and _goes_to(record, upstream) and "slots" in record.fields
+        if record.timestamp <= at
+        and _is_sent_to(record, upstream)
+        and "slots" in record.fields
     ]
-    return choices[-1] if choices else None
+    return decisions[-1] if decisions else None
 
 
-def _goes_to(record: LogRecord, upstream: str) -> bool:
-    return record.part == _ROUTE_PART and record.fields.get("chosen") == upstream
+def _is_sent_to(record: LogRecord, upstream: str) -> bool:
+    return (
+        record.message_type == _ROUTE_TYPE and record.fields.get("chosen") == upstream
+    )
 
 
-def _find_occupant(
-    request: str, story: _Story, upstream: str, at: float
-) -> Occupant | None:
-    sent = [record for record in story.sends if record.at <= at]
-    if not sent or not _goes_to(sent[-1], upstream):
+def _find_request(
+    request: str, history: _RequestHistory, upstream: str, at: float
+) -> InFlightRequest | None:
+    sends = [record for record in history.sends if record.timestamp <= at]
+    if not sends or not _is_sent_to(sends[-1], upstream):
         return None
-    send = sent[-1]
-    ends = [record.at for record in story.failed if record.at >= send.at]
-    if story.answer is not None:
-        ends.append(story.answer.at)
+    send = sends[-1]
+    ends = [
+        record.timestamp
+        for record in history.failures
+        if record.timestamp >= send.timestamp
+    ]
+    if history.response is not None:
+        ends.append(history.response.timestamp)
     if any(end <= at for end in ends):
         return None
     fields = send.fields
-    return Occupant(
+    return InFlightRequest(
         request,
         int(fields.get("tier") or 0),
         int(fields.get("route_tier") or 0),
         fields.get("team_tier"),
         int(fields.get("prompt") or 0) + int(fields.get("output") or 0),
-        send.at,
-        _find_state(story, upstream, at),
+        send.timestamp,
+        _find_state(history, upstream, at),
     )
 
 
-def _find_state(story: _Story, upstream: str, at: float) -> OccupantState:
-    for pause in story.pauses:
-        began = pause.at - float(pause.fields.get("seconds") or 0.0)
-        if pause.fields.get("upstream") == upstream and began <= at < pause.at:
-            return OccupantState.PAUSED
-    if story.answer is None:
-        return OccupantState.UNKNOWN
-    fields = story.answer.fields
+def _find_state(history: _RequestHistory, upstream: str, at: float) -> InFlightState:
+    for pause in history.pauses:
+        stalled_at = pause.timestamp - float(pause.fields.get("seconds") or 0.0)
+        if (
+            pause.fields.get("upstream") == upstream
+            and stalled_at <= at < pause.timestamp
+        ):
+            return InFlightState.PAUSED
+    if history.response is None:
+        return InFlightState.UNKNOWN
+    fields = history.response.fields
     first = fields.get("first_answer")
     if first is None:
-        return OccupantState.WAITING
-    begun = story.answer.at - float(fields.get("whole") or 0.0) + float(first)
-    return OccupantState.RUNNING if begun <= at else OccupantState.WAITING
+        return InFlightState.WAITING
+    started_at = (
+        history.response.timestamp - float(fields.get("whole") or 0.0) + float(first)
+    )
+    return InFlightState.RUNNING if started_at <= at else InFlightState.WAITING
--- a/src/rudderpass/observe/_render.py
+++ b/src/rudderpass/observe/_render.py
@@ -1,4 +1,4 @@
-"""Render a structured log readably."""
+"""Render structured logs as text for people."""
 
 from __future__ import annotations
 
@@ -23,29 +23,31 @@
             yield render_record(record)
 
 
-def render_story(records: Iterable[LogRecord], request: str) -> list[str]:
-    """Return the lines about one request over all processes, in time's order."""
+def render_timeline(records: Iterable[LogRecord], request: str) -> list[str]:
+    """Return the lines about one request from all processes, in order of time."""
     about = [record for record in records if record.request.startswith(request)]
-    return [render_record(record) for record in sorted(about, key=lambda r: r.at)]
+    return [
+        render_record(record) for record in sorted(about, key=lambda r: r.timestamp)
+    ]
 
 
 def render_record(record: LogRecord) -> str:
-    """Return a record as a line for people."""
-    moment = datetime.fromtimestamp(record.at, timezone.utc)
-    clock = moment.strftime("%H:%M:%S.%f")[:-3]
+    """Return a record as a readable line."""
+    timestamp = datetime.fromtimestamp(record.timestamp, timezone.utc)
+    time_of_day = timestamp.strftime("%H:%M:%S.%f")[:-3]
     message = record.fields
     fields = " ".join(
-        f"{name}={_short(value)}"
+        f"{name}={_format_value(value)}"
         for name, value in message.items()
         if name not in _HIDDEN and value not in (None, {}, [])
     )
-    words = (clock, record.source, str(message.get("text", "")), fields)
+    words = (time_of_day, record.source, str(message.get("text", "")), fields)
     return " ".join(word for word in words if word)
 
 
-def _short(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, dict):
-        return ",".join(f"{key}({why})" for key, why in value.items())
+        return ",".join(f"{key}({detail})" for key, detail in value.items())
     if isinstance(value, list):
         return ",".join(str(item) for item in value)
     return str(value)
--- a/src/rudderpass/platform/__init__.py
+++ b/src/rudderpass/platform/__init__.py
@@ -1,9 +1,9 @@
-"""The adapter to the users' platform: its settings, store, records and headers.
+"""Adapter to the users' platform: its settings, store, records and headers.
 
-Only names and encodings are translated here; every decision lies in the product.
+It only translates names and encodings; all decisions are made in the other packages.
 """
 
-from rudderpass.platform._caches import read_kept_parts as read_kept_parts
+from rudderpass.platform._caches import read_cached_parts as read_cached_parts
 from rudderpass.platform._cloud import CloudApi as CloudApi
 from rudderpass.platform._dialect import PlatformDialect as PlatformDialect
 from rudderpass.platform._records import (
--- a/src/rudderpass/platform/_caches.py
+++ b/src/rudderpass/platform/_caches.py
@@ -1,4 +1,4 @@
-"""What upstreams say they keep of prompts."""
+"""Reads from upstreams which prompt parts they have cached."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 from rudderpass.directory import RegisteredUpstream, identify_start
 from rudderpass.errors import UnusableRecord, UpstreamError
 from rudderpass.exchange import PartId, PromptPart
-from rudderpass.platform._schemas import KeptList, Schema
+from rudderpass.platform._schemas import CachedPartList, Schema
 
 LIST_PATH = "/-/kv-list"
-CALL_SECONDS = 1.0
-"""The call waits for a step of the upstream's work, 60 ms where it reads a chunk."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""An upstream responds after its current step; prefilling a chunk takes 60 ms."""
 
 
-_lists = Schema(KeptList, "list of kept parts")
+_cached_parts = Schema(CachedPartList, "list of cached prompt parts")
 
 
-def read_kept_parts(entry: RegisteredUpstream) -> tuple[PromptPart, ...]:
-    """Return the prompt parts in an upstream's cache. The call has a price.
+def read_cached_parts(entry: RegisteredUpstream) -> tuple[PromptPart, ...]:
+    """Return the prompt parts in an upstream's cache. Each call has a cost.
 
-    :raises UpstreamError: when the upstream does not answer, or has started again.
+    :raises UpstreamError: when the upstream does not respond, or has restarted.
     """
     address = entry.address
-    connection = http.client.HTTPConnection(address, timeout=CALL_SECONDS)
+    connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_SECONDS)
     try:
         connection.request("GET", LIST_PATH)
         response = connection.getresponse()
         body = response.read()
         if response.status != HTTPStatus.OK:
-            raise _failed(f"status {response.status}", address)
-        kept = _lists.read(body)
+            raise _make_error(f"status {response.status}", address)
+        cached = _cached_parts.read(body)
     except (OSError, http.client.HTTPException) as error:
-        raise _failed(f"{type(error).__name__} {error}", address) from error
+        raise _make_error(f"{type(error).__name__} {error}", address) from error
     except UnusableRecord as error:
-        raise _failed(error.message, address) from error
+        raise _make_error(error.message, address) from error
     finally:
         connection.close()
-    if kept.born is not UNSET and entry.upstream != identify_start(
-        entry.name, kept.born
+    if cached.born is not UNSET and entry.upstream != identify_start(
+        entry.name, cached.born
     ):
-        raise _failed("it has started again", address)
-    return tuple(PromptPart(PartId(part), tokens) for _, part, tokens, _ in kept.held)
+        raise _make_error("the upstream has restarted", address)
+    return tuple(PromptPart(PartId(part), tokens) for _, part, tokens, _ in cached.held)
 
 
-def _failed(text: str, address: str) -> UpstreamError:
+def _make_error(text: str, address: str) -> UpstreamError:
     return UpstreamError(
         f"cache list: {text}", sent=True, step="cache list", peer=address
     )
--- a/src/rudderpass/platform/_cloud.py
+++ b/src/rudderpass/platform/_cloud.py
@@ -1,4 +1,4 @@
-"""The platform's calls that only the holder of a duty makes."""
+"""Client of the platform's calls that are reserved for the holder of a duty."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from typing import Any
 
 from rudderpass._ids import FencingToken
-from rudderpass._sockets import watch_liveness
+from rudderpass._sockets import set_tcp_options
 from rudderpass.duties import CallResult, ScaleSubject, WindowUsage
 from rudderpass.eventlog import log
 
 HOLDER_HEADER = "X-Duty-Holder"
 TOKEN_HEADER = "X-Fencing-Token"
 REPORT_PATH = "/usage-reports"
-ORDER_PATH = "/scale"
+SCALE_PATH = "/scale"
 
-CALL_SECONDS = 1.5
-"""A call that takes longer may be carried out all the same, and is made again."""
+CALL_TIMEOUT_SECONDS = 1.5
+"""A call that times out may still be carried out; the holder retries it."""
 
-_RESULTS: dict[int, CallResult] = {
+_RESULT_BY_STATUS: dict[int, CallResult] = {
     HTTPStatus.OK: CallResult.DONE,
     HTTPStatus.CONFLICT: CallResult.CONFLICT,
     HTTPStatus.INTERNAL_SERVER_ERROR: CallResult.UNKNOWN,
     HTTPStatus.BAD_GATEWAY: CallResult.UNKNOWN,
     HTTPStatus.GATEWAY_TIMEOUT: CallResult.UNKNOWN,
 }
-"""Every other status promises that nothing was done."""
+"""Any other status guarantees that the call was not carried out."""
 
 
 class CloudApi:
@@ -45,14 +45,14 @@
     def report_usage(
         self, holder: str, token: FencingToken, usage: WindowUsage
     ) -> CallResult:
-        """Report a window's usage."""
+        """Report the usage of a window."""
         body = {"window": usage.window, "counts": dict(usage.counts)}
         return self._call(REPORT_PATH, holder, token, body)
 
-    def order_upstreams(
+    def set_desired_count(
         self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
     ) -> CallResult:
-        """Order a number of upstreams."""
+        """Set how many upstreams a service should have in a zone."""
         body: dict[str, object] = {
             "service": subject.service,
             "zone": subject.zone,
@@ -60,13 +60,15 @@
         }
         if subject.is_spot:
             body["spot"] = True
-        return self._call(ORDER_PATH, holder, token, body)
+        return self._call(SCALE_PATH, holder, token, body)
 
     def _call(
-        self, path: str, holder: str, token: FencingToken, value: dict[str, Any]
+        self, path: str, holder: str, token: FencingToken, content: dict[str, Any]
     ) -> CallResult:
         self.calls += 1
-        connection = http.client.HTTPConnection(self._address, timeout=CALL_SECONDS)
+        connection = http.client.HTTPConnection(
+            self._address, timeout=CALL_TIMEOUT_SECONDS
+        )
         headers = {
             HOLDER_HEADER: holder,
             TOKEN_HEADER: str(token),
@@ -74,8 +76,8 @@
         }
         try:
             connection.connect()
-            watch_liveness(connection.sock)
-            connection.request("POST", path, json.dumps(value).encode(), headers)
+            set_tcp_options(connection.sock)
+            connection.request("POST", path, json.dumps(content).encode(), headers)
             response = connection.getresponse()
             body = response.read()
         except (OSError, http.client.HTTPException) as error:
@@ -86,4 +88,4 @@
             connection.close()
         if response.status != HTTPStatus.OK:
             log("duty", f"{path}: status {response.status} {body[:200]!r}.", path=path)
-        return _RESULTS.get(response.status, CallResult.REFUSED)
+        return _RESULT_BY_STATUS.get(response.status, CallResult.REFUSED)
--- a/src/rudderpass/platform/_dialect.py
+++ b/src/rudderpass/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""Callers' requests, sends and upstreams' answers, by the platform's headers."""
+"""Encodes requests and decodes responses, according to the platform's headers."""
 
 from __future__ import annotations
 
@@ -21,30 +21,31 @@
 from rudderpass.platform._headers import (
     COPY_FROM,
     CREDENTIAL,
-    LAST_EVENT,
+    LAST_EVENT_ID,
     LEAVING,
     NOT_RUN,
     PROMPT_PARTS,
-    PROOF,
     RATE_LIMIT,
     REQUEST_ID,
+    RESPONSE_SIGNATURE,
     RETRY_AFTER,
     TEAM,
     TIER,
     TIME_LIMIT_MS,
     TOKEN_COUNTS,
     UPSTREAM_ID,
-    is_from_caller,
+    is_forwarded,
 )
 
-LEAST_URGENT_TIER = 9
-"""Upstreams know tiers 0 to 9."""
+LOWEST_PRIORITY_TIER = 9
+"""Upstreams accept tiers 0, the most urgent, to 9."""
 
 DEFAULT_KEEP_ALIVE_SECONDS = 2.0
-"""How long a connection may rest whose upstream does not say."""
+"""Idle time of a connection whose upstream states no Keep-Alive timeout."""
 
 KEEP_ALIVE_MARGIN_SECONDS = 1.0
-"""The upstream closes at the time it says; a request must not cross that."""
+"""The upstream closes an idle connection after the timeout that it states; a request
+must not be sent while it does."""
 
 _HOP_BY_HOP = frozenset(
     (
@@ -62,8 +63,8 @@
     )
 )
 MAX_COUNT_DIGITS = 8
-"""Digits of a caller's count of tokens: a hundred times the longest prompt of any
-model. A longer one would pass the bounds of what hosts tell one another."""
+"""Digits of a caller's token count: a hundred times the longest prompt of any model.
+A larger count would exceed the bounds of the messages between hosts."""
 
 _METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
 _TRUE = "1"
@@ -72,15 +73,15 @@
 
 
 class PlatformDialect:
-    """Reads and writes the platform's headers.
+    """Parses and writes the platform's headers.
 
     .. versionadded:: 0.2
     """
 
     def read_request(self, environ: dict[str, Any], body: bytes) -> ExchangeRequest:
-        """Return what a caller asks."""
+        """Parse a caller's request."""
         target = _origin_form(environ["REQUEST_URI"])
-        request_id = environ.get(_variable(REQUEST_ID), "")
+        request_id = environ.get(_environ_key(REQUEST_ID), "")
         if not request_id:
             raise BadRequest(f"no {REQUEST_ID}", HTTPStatus.BAD_REQUEST)
         return ExchangeRequest(
@@ -88,28 +89,30 @@
             method=environ["REQUEST_METHOD"],
             target=target,
             path=target.partition("?")[0],
-            host=_host_name(environ.get("HTTP_HOST", "")),
-            headers=_pass_on(environ),
+            host=_strip_port(environ.get("HTTP_HOST", "")),
+            headers=_forwarded_headers(environ),
             body=body,
-            key=environ.get(_variable(CREDENTIAL)),
-            time_limit=_read_seconds(environ.get(_variable(TIME_LIMIT_MS))),
-            parts=_read_parts(environ.get(_variable(PROMPT_PARTS), "")),
-            output_tokens=_read_output(environ.get(_variable(TOKEN_COUNTS), "")),
-            last_event=environ.get(_variable(LAST_EVENT)),
+            key=environ.get(_environ_key(CREDENTIAL)),
+            time_limit=_parse_time_limit(environ.get(_environ_key(TIME_LIMIT_MS))),
+            parts=_parse_prompt_parts(environ.get(_environ_key(PROMPT_PARTS), "")),
+            output_tokens=_parse_output_tokens(
+                environ.get(_environ_key(TOKEN_COUNTS), "")
+            ),
+            last_event=environ.get(_environ_key(LAST_EVENT_ID)),
         )
 
     def write_send(self, request: ExchangeRequest, facts: SendFacts) -> Headers:
-        """Return the headers of a send."""
+        """Return the headers of a request to an upstream."""
         headers = [*request.headers, (UPSTREAM_ID, str(facts.upstream))]
         if facts.time_left is not None:
             headers.append((TIME_LIMIT_MS, str(max(1, int(facts.time_left * _MS)))))
         if facts.team is not None:
             headers.append((TEAM, facts.team))
         if facts.tier is not None:
-            tier = min(LEAST_URGENT_TIER, max(0, facts.tier))
+            tier = min(LOWEST_PRIORITY_TIER, max(0, facts.tier))
             headers.append((TIER, str(tier)))
         if facts.last_event is not None:
-            headers.append((LAST_EVENT, facts.last_event))
+            headers.append((LAST_EVENT_ID, facts.last_event))
         if facts.copy_from is not None:
             headers.append((COPY_FROM, facts.copy_from))
         if request.body or request.method in _METHODS_WITH_BODY:
@@ -123,32 +126,33 @@
         headers: Sequence[tuple[str, str]],
         request_id: RequestId,
     ) -> AnswerHead:
-        """Return what an upstream's answer says."""
+        """Parse the head of an upstream's response."""
         fields = {name.lower(): value for name, value in headers}
-        named = _names_in(fields.get("connection", ""))
-        passed = tuple(
+        connection_options = _connection_options(fields.get("connection", ""))
+        forwarded = tuple(
             (name, value)
             for name, value in headers
-            if name.lower() not in _HOP_BY_HOP and name.lower() not in named
+            if name.lower() not in _HOP_BY_HOP
+            and name.lower() not in connection_options
         )
         content_type = fields.get("content-type", "")
         return AnswerHead(
             kind=_classify(status, fields, request_id),
             status=status,
-            reason=reason or _phrase(status),
-            headers=passed,
+            reason=reason or _reason_phrase(status),
+            headers=forwarded,
             is_stream=status == HTTPStatus.OK
             and content_type.startswith(_EVENT_STREAM),
-            keep_alive=_read_keep_alive(fields.get("keep-alive", "")),
-            rate_limit=_read_nonnegative(fields.get(RATE_LIMIT.lower())),
+            keep_alive=_parse_keep_alive(fields.get("keep-alive", "")),
+            rate_limit=_parse_nonnegative(fields.get(RATE_LIMIT.lower())),
             is_leaving=fields.get(LEAVING.lower()) == _TRUE,
-            retry_after=_read_nonnegative(fields.get(RETRY_AFTER.lower())),
+            retry_after=_parse_nonnegative(fields.get(RETRY_AFTER.lower())),
         )
 
     def write_refusal(
         self, request_id: str | None, retry_after: float | None
     ) -> Headers:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a response that this host generates itself."""
         headers = [("Content-Type", "text/plain; charset=utf-8")]
         if request_id is not None:
             headers.append((REQUEST_ID, request_id))
@@ -158,27 +162,31 @@
 
 
 def _classify(status: int, fields: dict[str, str], request_id: RequestId) -> AnswerKind:
-    answered = fields.get(REQUEST_ID.lower())
-    if answered is not None and answered != request_id:
+    response_request_id = fields.get(REQUEST_ID.lower())
+    if response_request_id is not None and response_request_id != request_id:
         return AnswerKind.FOREIGN
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return AnswerKind.OTHER_UPSTREAM
     if NOT_RUN.lower() in fields:
         return AnswerKind.NOT_RUN
-    if answered is None or "content-encoding" in fields:
+    if response_request_id is None or "content-encoding" in fields:
         return AnswerKind.FOREIGN
     if not HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES:
         return AnswerKind.FAILURE
-    return AnswerKind.SUCCESS if PROOF.lower() in fields else AnswerKind.FOREIGN
+    return (
+        AnswerKind.SUCCESS
+        if RESPONSE_SIGNATURE.lower() in fields
+        else AnswerKind.FOREIGN
+    )
 
 
-def _variable(header: str) -> str:
-    """Return the WSGI variable that holds a header."""
+def _environ_key(header: str) -> str:
+    """Return the key of a header in the WSGI environment."""
     return "HTTP_" + header.upper().replace("-", "_")
 
 
 def _origin_form(uri: str) -> str:
-    """Return path and query of a request line's target, untouched."""
+    """Return path and query of a request target, unchanged."""
     if uri.startswith("/"):
         return uri
     _, scheme_end, rest = uri.partition("://")
@@ -188,19 +196,23 @@
     return rest[path:]
 
 
-def _host_name(value: str) -> str:
+def _strip_port(value: str) -> str:
     return value.partition(":")[0].strip()
 
 
-def _pass_on(environ: dict[str, Any]) -> Headers:
-    named = _names_in(environ.get("HTTP_CONNECTION", ""))
+def _forwarded_headers(environ: dict[str, Any]) -> Headers:
+    connection_options = _connection_options(environ.get("HTTP_CONNECTION", ""))
     headers: list[tuple[str, str]] = []
     for variable, value in environ.items():
         if not variable.startswith("HTTP_"):
             continue
         name = variable[5:].replace("_", "-").title()
         lower = name.lower()
-        if lower in _HOP_BY_HOP or lower in named or not is_from_caller(name):
+        if (
+            lower in _HOP_BY_HOP
+            or lower in connection_options
+            or not is_forwarded(name)
+        ):
             continue
         headers.append((name, value))
     content_type = environ.get("CONTENT_TYPE")
@@ -209,13 +221,13 @@
     return tuple(headers)
 
 
-def _names_in(connection: str) -> frozenset[str]:
-    """Return the headers that a Connection header limits to one connection."""
+def _connection_options(connection: str) -> frozenset[str]:
+    """Return the header names that a Connection header lists as hop-by-hop."""
     names = (name.strip().lower() for name in connection.split(","))
     return frozenset(name for name in names if name)
 
 
-def _read_seconds(value: str | None) -> float | None:
+def _parse_time_limit(value: str | None) -> float | None:
     if value is None:
         return None
     try:
@@ -227,37 +239,37 @@
     return max(0.0, milliseconds) / _MS
 
 
-def _read_parts(value: str) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: str) -> tuple[PromptPart, ...]:
     parts: list[PromptPart] = []
     for item in value.split(",") if value else ():
         name, _, text = item.strip().partition(":")
-        tokens = _read_count(text)
+        tokens = _parse_count(text)
         if tokens is None:
             return ()
         parts.append(PromptPart(PartId(name), tokens))
     return tuple(parts)
 
 
-def _read_output(value: str) -> int:
+def _parse_output_tokens(value: str) -> int:
     _, _, output = value.partition(",")
-    return _read_count(output.strip()) or 0
+    return _parse_count(output.strip()) or 0
 
 
-def _read_count(text: str) -> int | None:
-    """Return a count of tokens; None for what is none, or longer than any can be."""
+def _parse_count(text: str) -> int | None:
+    """Return a token count; None if it is invalid or has too many digits."""
     is_count = text.isascii() and text.isdigit() and len(text) <= MAX_COUNT_DIGITS
     return int(text) if is_count else None
 
 
-def _read_keep_alive(value: str) -> float:
+def _parse_keep_alive(value: str) -> float:
     for item in value.split(","):
         name, _, seconds = item.strip().partition("=")
-        if name.lower() == "timeout" and _read_count(seconds) is not None:
+        if name.lower() == "timeout" and _parse_count(seconds) is not None:
             return max(0.0, float(seconds) - KEEP_ALIVE_MARGIN_SECONDS)
     return DEFAULT_KEEP_ALIVE_SECONDS
 
 
-def _read_nonnegative(value: str | None) -> float | None:
+def _parse_nonnegative(value: str | None) -> float | None:
     """Return a finite, non-negative number; None if missing or invalid."""
     try:
         number = float(value or "")
@@ -266,7 +278,7 @@
     return number if math.isfinite(number) and number >= 0.0 else None
 
 
-def _phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/src/rudderpass/platform/_headers.py
+++ b/src/rudderpass/platform/_headers.py
@@ -1,7 +1,7 @@
 """The platform's header names, and who may set each of them on a request.
 
-One table for all: a name that the pages add is entered here with its owner, and nothing
-else decides whether a caller's value reaches an upstream.
+Every header that the platform's documentation defines has an entry with its owner here;
+nothing else decides whether a caller's value reaches an upstream.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 TEAM = "X-Tenant"
 UPSTREAM_ID = "X-Expect-Instance"
 TIER = "X-Request-Priority"
-LAST_EVENT = "Last-Event-Id"
+LAST_EVENT_ID = "Last-Event-Id"
 COPY_FROM = "Kv-Fetch"
 PROMPT_PARTS = "X-Prompt-Prefix"
 TOKEN_COUNTS = "X-Token-Count"
 MODEL = "X-Model"
 LENGTH_HINT = "X-Length-Hint"
 WEIGHTS_VERSION = "X-Expect-Version"
-RESERVATION = "X-Kv-Hold"
-KEEP_CACHED_MS = "X-Pin-Ms"
-BACKUP_TO = "X-Kv-Backup"
+CACHE_HOLD = "X-Kv-Hold"
+CACHE_PIN_MS = "X-Pin-Ms"
+CACHE_BACKUP_TO = "X-Kv-Backup"
 CONTINUE_FROM = "Kv-From"
 WAIT_MS = "Wait-Ms"
-PROOF = "X-Response-Signature"
+RESPONSE_SIGNATURE = "X-Response-Signature"
 NOT_RUN = "X-Not-Executed"
-ANSWERING_UPSTREAM = "X-Instance-Id"
-ANSWER_VERSIONS = "X-Weight-Versions"
+RESPONDING_UPSTREAM = "X-Instance-Id"
+RESPONSE_WEIGHTS_VERSIONS = "X-Weight-Versions"
 RATE_LIMIT = "Server-Limit"
 LEAVING = "Server-Leaving"
 RETRY_AFTER = "Retry-After"
@@ -39,9 +39,9 @@
 class Owner(Enum):
     """Who sets a header of a request that reaches an upstream."""
 
-    CALLER = "passed on as the caller sent it"
+    CALLER = "forwarded as the caller sent it"
     HOST = "set by the host alone, whatever the caller sent"
-    UPSTREAM = "stands in answers; on a request it means nothing"
+    UPSTREAM = "set on responses; has no meaning on a request"
 
 
 OWNERS: Mapping[str, Owner] = {
@@ -50,38 +50,38 @@
     TOKEN_COUNTS: Owner.CALLER,
     PROMPT_PARTS: Owner.CALLER,
     LENGTH_HINT: Owner.CALLER,
-    # The caller's values are read, and what the upstream gets is the host's.
+    # The host reads the caller's values, but sends its own values to the upstream.
     TIME_LIMIT_MS: Owner.HOST,
-    LAST_EVENT: Owner.HOST,
+    LAST_EVENT_ID: Owner.HOST,
     CREDENTIAL: Owner.HOST,
     TEAM: Owner.HOST,
-    # An engine waits for a lease or a copy that does not exist, or refuses the request,
-    # where a caller's value of these reaches it: 357 of 949 sends on a calm day.
+    # With a caller's value of one of these, an engine waits for a lease or a cache copy
+    # that does not exist, or refuses the request: 357 of 949 sends under normal load.
     UPSTREAM_ID: Owner.HOST,
     WEIGHTS_VERSION: Owner.HOST,
     TIER: Owner.HOST,
     COPY_FROM: Owner.HOST,
-    RESERVATION: Owner.HOST,
-    KEEP_CACHED_MS: Owner.HOST,
-    BACKUP_TO: Owner.HOST,
+    CACHE_HOLD: Owner.HOST,
+    CACHE_PIN_MS: Owner.HOST,
+    CACHE_BACKUP_TO: Owner.HOST,
     CONTINUE_FROM: Owner.HOST,
     WAIT_MS: Owner.HOST,
-    PROOF: Owner.UPSTREAM,
+    RESPONSE_SIGNATURE: Owner.UPSTREAM,
     NOT_RUN: Owner.UPSTREAM,
-    ANSWERING_UPSTREAM: Owner.UPSTREAM,
-    ANSWER_VERSIONS: Owner.UPSTREAM,
+    RESPONDING_UPSTREAM: Owner.UPSTREAM,
+    RESPONSE_WEIGHTS_VERSIONS: Owner.UPSTREAM,
     RATE_LIMIT: Owner.UPSTREAM,
     LEAVING: Owner.UPSTREAM,
 }
 
-_NOT_FROM_CALLERS = frozenset(
+_NOT_FORWARDED = frozenset(
     name.lower() for name, owner in OWNERS.items() if owner is not Owner.CALLER
 )
 
 
-def is_from_caller(name: str) -> bool:
-    """Tell whether a caller's value of a header may reach an upstream.
+def is_forwarded(name: str) -> bool:
+    """Return whether a caller's value of a header is forwarded to an upstream.
 
-    Headers that the platform does not name belong to the caller.
+    Headers that the platform does not define belong to the caller.
     """
-    return name.lower() not in _NOT_FROM_CALLERS
+    return name.lower() not in _NOT_FORWARDED
--- a/src/rudderpass/platform/_records.py
+++ b/src/rudderpass/platform/_records.py
@@ -1,4 +1,4 @@
-"""The platform's configuration and upstream records, as the product's types."""
+"""Decodes the platform's configuration and upstream records into the router's types."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
     Service,
     Team,
     UpstreamEntry,
-    check_name,
+    check_upstream_name,
 )
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.AT_MOST_ONCE,
     "keyed": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
 }
-_LEAVING = "draining"
+_DRAINING_STATE = "draining"
 _MS = 1000.0
 _BYTES_PER_MEGABIT = 1_000_000 / 8
 
-_configurations = Schema(Configuration, "configuration record")
-_upstreams = Schema(UpstreamEntry, "record of an upstream")
+_config_schema = Schema(Configuration, "configuration record")
+_upstream_schema = Schema(UpstreamEntry, "upstream record")
 
 
 def decode_config(data: bytes) -> ExchangeConfig:
     """Return the declarations in a configuration record.
 
-    :raises UnusableRecord: when the record cannot be read.
+    :raises UnusableRecord: when the record is invalid.
     """
-    value = _configurations.read(data)
+    value = _config_schema.read(data)
     return ExchangeConfig(
         version=value.version,
         routes=tuple(_make_route(item) for item in value.routes),
@@ -63,10 +63,10 @@
 def decode_upstream(key: str, data: bytes) -> RegisteredUpstream:
     """Return the registration in an upstream's record; its key is the upstream's id.
 
-    :raises UnusableRecord: when the record is none that an upstream wrote.
+    :raises UnusableRecord: when the record is not one that an upstream writes.
     """
-    check_name(key)
-    entry = _upstreams.read(data)
+    check_upstream_name(key)
+    entry = _upstream_schema.read(data)
     name = UpstreamName(key)
     started = None if entry.born is UNSET else entry.born
     return RegisteredUpstream(
@@ -76,7 +76,7 @@
         address=entry.address,
         zone=AvailabilityZone(entry.zone),
         slots=entry.slots,
-        leaving=entry.state == _LEAVING,
+        leaving=entry.state == _DRAINING_STATE,
         is_spot=entry.spot is True,
     )
 
@@ -87,7 +87,7 @@
         name=RouteName(item.name),
         host=item.host,
         path_prefix=item.path_prefix,
-        kind=_KINDS[item.kind],
+        kind=_ROUTE_KINDS[item.kind],
         timeout=item.timeout_ms / _MS,
         target_latency=item.target_latency_ms / _MS,
         tier=item.priority or 0,
@@ -100,7 +100,7 @@
 
 
 def _make_shares(item: Route) -> tuple[ServiceShare, ...]:
-    """A route names one service, or several with their weights."""
+    """Return the one service of a route, or its several services and their weights."""
     if item.traffic_split:
         return tuple(
             ServiceShare(PoolId(part.service), part.weight)
@@ -126,13 +126,15 @@
 
 
 def _make_engine(item: Engine) -> EngineTraits:
-    megabits = item.link_mbps or 0.0
-    copies = bool(item.moves) and megabits > 0
+    link_mbps = item.link_mbps or 0.0
+    can_copy_caches = bool(item.moves) and link_mbps > 0
     return EngineTraits(
         slots=int(item.slots),
         cache_tokens=int(item.kv_cache_tokens),
         token_bytes=int(item.kv_token_bytes or 0),
-        link_bytes_per_second=megabits * _BYTES_PER_MEGABIT if copies else None,
+        link_bytes_per_second=(
+            link_mbps * _BYTES_PER_MEGABIT if can_copy_caches else None
+        ),
     )
 
 
@@ -143,10 +145,10 @@
 
 
 def _make_limits(item: Limits) -> CallerLimits:
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        header_bytes=int(item.max_header_bytes or usual.header_bytes),
-        body_bytes=int(item.max_body_bytes or usual.body_bytes),
-        header_timeout=(item.header_timeout_ms or usual.header_timeout * _MS) / _MS,
-        idle_timeout=(item.idle_timeout_ms or usual.idle_timeout * _MS) / _MS,
+        header_bytes=int(item.max_header_bytes or defaults.header_bytes),
+        body_bytes=int(item.max_body_bytes or defaults.body_bytes),
+        header_timeout=(item.header_timeout_ms or defaults.header_timeout * _MS) / _MS,
+        idle_timeout=(item.idle_timeout_ms or defaults.idle_timeout * _MS) / _MS,
     )
--- a/src/rudderpass/platform/_settings_file.py
+++ b/src/rudderpass/platform/_settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into the product's settings."""
+"""Reads the platform's settings file into a host's settings."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from rudderpass.host import DutySettings, HostSettings
 
 SETTINGS_VARIABLE = "RUDDERPASS_SETTINGS"
-"""Names the environment variable that holds the file's path."""
+"""The environment variable that holds the path of the settings file."""
 
 METRICS_PORT = 9464
-"""The port that ``deploy/system.toml`` names for metrics."""
+"""The metrics port, as in ``deploy/system.toml``."""
 
 _PEER_PORT_INDEX = 0
 _USAGE_DUTY = "usage_report"
@@ -25,7 +25,7 @@
 
 
 def read_settings_file(path: Path) -> HostSettings:
-    """Return the settings that stand in ``path``.
+    """Return the settings in the file at ``path``.
 
     :raises SettingsError: naming the field that is missing or wrong.
     """
@@ -41,21 +41,24 @@
         raise SettingsError(
             f"settings file {path} is not TOML: {error}", step="settings"
         ) from error
-    return _read_table(_Table(table, str(path)))
+    return _read_settings(_Table(table, str(path)))
 
 
 class _Table:
-    """A TOML table whose fields are read with a check of their type."""
+    """A TOML table that checks the types of its fields when they are read.
 
-    def __init__(self, values: dict[str, Any], place: str) -> None:
+    :param location: names the table in error messages.
+    """
+
+    def __init__(self, values: dict[str, Any], location: str) -> None:
         self._values = values
-        self._place = place
+        self._location = location
 
     def has(self, name: str) -> bool:
         return name in self._values
 
     def table(self, name: str) -> _Table:
-        return _Table(self._get(name, dict), f"{self._place}: {name}")
+        return _Table(self._get(name, dict), f"{self._location}: {name}")
 
     def text(self, name: str) -> str:
         value: str = self._get(name, str)
@@ -65,38 +68,38 @@
         return float(self._get(name, (int, float)))
 
     def flag(self, name: str) -> bool:
-        """Return a field that counts as false where it is missing."""
+        """Return a boolean field; false if it is missing."""
         value = self._values.get(name, False)
         if not isinstance(value, bool):
-            raise self._wrong(name, f"has the wrong type, {type(value).__name__}")
+            raise self._make_error(name, f"has the wrong type, {type(value).__name__}")
         return value
 
     def texts(self, name: str) -> tuple[str, ...]:
         values: list[Any] = self._get(name, list)
         if not all(isinstance(value, str) for value in values):
-            raise self._wrong(name, "is not a list of texts")
+            raise self._make_error(name, "is not a list of strings")
         return tuple(values)
 
     def numbers(self, name: str) -> tuple[int, ...]:
         values: list[Any] = self._get(name, list)
         if not values or not all(isinstance(value, int) for value in values):
-            raise self._wrong(name, "is not a list of whole numbers")
+            raise self._make_error(name, "is not a list of integers")
         return tuple(values)
 
-    def _get(self, name: str, kind: type | tuple[type, ...]) -> Any:
+    def _get(self, name: str, expected_type: type | tuple[type, ...]) -> Any:
         if name not in self._values:
-            raise self._wrong(name, "is missing")
+            raise self._make_error(name, "is missing")
         value = self._values[name]
-        if not isinstance(value, kind) or isinstance(value, bool):
-            raise self._wrong(name, f"has the wrong type, {type(value).__name__}")
+        if not isinstance(value, expected_type) or isinstance(value, bool):
+            raise self._make_error(name, f"has the wrong type, {type(value).__name__}")
         return value
 
-    def _wrong(self, name: str, why: str) -> SettingsError:
-        return SettingsError(f"{self._place}: {name} {why}", step="settings")
+    def _make_error(self, name: str, problem: str) -> SettingsError:
+        return SettingsError(f"{self._location}: {name} {problem}", step="settings")
 
 
-def _read_link(table: _Table) -> int:
-    """Return what the host's link carries, Mbit/s; 0 where the file does not say."""
+def _read_link_mbps(table: _Table) -> int:
+    """Return the bandwidth of the host's link in Mbit/s; 0 if it is not set."""
     if not table.has("limits"):
         return 0
     limits = table.table("limits")
@@ -104,7 +107,7 @@
 
 
 def _read_duties(table: _Table, bounds: _Table) -> DutySettings | None:
-    """Return the duties that the file names; None where it names none."""
+    """Return the settings of the duties that the file lists; None if it lists none."""
     if not table.has("cloud"):
         return None
     cloud = table.table("cloud")
@@ -115,7 +118,7 @@
     orders_upstreams = _SCALE_DUTY in duties
     if not (reports_usage or orders_upstreams):
         return None
-    usual = DutySettings("", False, False, HoldingRule(0.0, 0.0, False))
+    defaults = DutySettings("", False, False, HoldingRule(0.0, 0.0, False))
     return DutySettings(
         platform=cloud.text("address"),
         reports_usage=reports_usage,
@@ -125,12 +128,12 @@
             thaw_slack=bounds.number("thawSlackMs") / _MS,
             is_fenced=bounds.flag("fencingRequired"),
         ),
-        window=bounds.number("reportWindowS") if reports_usage else usual.window,
-        late=bounds.number("usageLateS") if reports_usage else usual.late,
+        window=bounds.number("reportWindowS") if reports_usage else defaults.window,
+        late=bounds.number("usageLateS") if reports_usage else defaults.late,
     )
 
 
-def _read_table(table: _Table) -> HostSettings:
+def _read_settings(table: _Table) -> HostSettings:
     listen = table.table("listen")
     bounds = table.table("bounds")
     ip = table.text("ip")
@@ -143,7 +146,7 @@
         peer=f"{ip}:{peer_port}",
         metrics=f"{ip}:{METRICS_PORT}",
         store=table.table("platform").text("address"),
-        link_mbps=_read_link(table),
+        link_mbps=_read_link_mbps(table),
         seeds=tuple(
             f"{seed.rpartition(':')[0]}:{peer_port}" for seed in table.texts("seeds")
         ),
--- a/tests/admission/test_queue.py
+++ b/tests/admission/test_queue.py
@@ -9,7 +9,7 @@
 
 from rudderpass._ids import ClassName, RequestId, TeamId, UpstreamId
 from rudderpass.admission import AdmissionQueue, Reservation
-from tests.builders import make_work
+from tests.builders import make_reservation
 from tests.fuzz import make_settings
 
 
@@ -26,7 +26,7 @@
 def fill(*items: dict[str, Any]) -> AdmissionQueue:
     queue = AdmissionQueue()
     for number, changes in enumerate(items):
-        queue.push(make_work(number, **changes))
+        queue.push(make_reservation(number, **changes))
     return queue
 
 
@@ -65,15 +65,15 @@
 
 def test_work_in_time_goes_before_late_work_of_its_tier() -> None:
     queue = AdmissionQueue()
-    queue.push(make_work(0, start_target=1.0))
-    queue.push(make_work(9, start_target=1.0))
+    queue.push(make_reservation(0, start_target=1.0))
+    queue.push(make_reservation(9, start_target=1.0))
     assert drain(queue, now=9.5) == ["r0009", "r0000"]
 
 
 def test_late_work_of_a_higher_tier_still_goes_before_a_lower_tier() -> None:
     queue = AdmissionQueue()
-    queue.push(make_work(0, start_target=1.0, tier=1, service_class="a"))
-    queue.push(make_work(9, start_target=1.0))
+    queue.push(make_reservation(0, start_target=1.0, tier=1, service_class="a"))
+    queue.push(make_reservation(9, start_target=1.0))
     assert drain(queue, now=9.5) == ["r0000", "r0009"]
 
 
@@ -81,10 +81,10 @@
     """With a floor of a tenth, one in ten grants goes to the lowest class."""
     queue = AdmissionQueue()
     for number in range(100):
-        queue.push(make_work(number, tier=1, service_class="top"))
+        queue.push(make_reservation(number, tier=1, service_class="top"))
     low = ClassName("low")
     for number in range(100, 110):
-        queue.push(make_work(number, tier=5, service_class=low, floor_share=0.1))
+        queue.push(make_reservation(number, tier=5, service_class=low, floor_share=0.1))
     served = drain(queue)
     places = [place for place, name in enumerate(served) if name >= "r0100"]
     assert places[0] <= 11
@@ -95,19 +95,19 @@
     """The check above can fail: no floor, no service."""
     queue = AdmissionQueue()
     for number in range(100):
-        queue.push(make_work(number, tier=1, service_class="top"))
-    queue.push(make_work(100, tier=5, service_class="low"))
+        queue.push(make_reservation(number, tier=1, service_class="top"))
+    queue.push(make_reservation(100, tier=5, service_class="low"))
     assert drain(queue)[-1] == "r0100"
 
 
 def test_a_team_that_was_idle_gets_no_arrears() -> None:
     queue = AdmissionQueue()
     for number in range(20):
-        queue.push(make_work(number, team="busy"))
+        queue.push(make_reservation(number, team="busy"))
     for _ in range(10):
         queue.serve(next(queue.in_order(0.0)).request_id)
     for number in range(20, 30):
-        queue.push(make_work(number, team="late"))
+        queue.push(make_reservation(number, team="late"))
     first = drain(queue)[:6]
     assert sum(name < "r0020" for name in first) >= 2
 
@@ -131,8 +131,8 @@
 
 def test_lanes_of_other_upstreams_are_not_blocked() -> None:
     queue = AdmissionQueue()
-    queue.push(make_work(0, upstreams=(UpstreamId("u1"),)))
-    queue.push(make_work(1, upstreams=(UpstreamId("u2"),)))
+    queue.push(make_reservation(0, upstreams=(UpstreamId("u1"),)))
+    queue.push(make_reservation(1, upstreams=(UpstreamId("u2"),)))
     heads = {work.request_id for work in queue.in_order(0.0)}
     assert heads == {"r0000", "r0001"}
 
@@ -141,7 +141,7 @@
 def loads(draw: st.DrawFn) -> list[Reservation]:
     count = draw(st.integers(1, 40))
     return [
-        make_work(
+        make_reservation(
             number,
             tier=(tier := draw(st.integers(1, 4))),
             service_class=ClassName(f"class-{tier}"),
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Short ways to build what many tests need."""
+"""Factories of objects that many tests need."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 ZONE = AvailabilityZone("nasr")
 
 
-def make_work(number: int, **changes: Any) -> Reservation:
-    """Return waiting work; the number makes it unique and orders arrivals."""
+def make_reservation(number: int, **changes: Any) -> Reservation:
+    """Return a queued reservation; the number makes it unique and orders arrivals."""
     values: dict[str, Any] = {
         "request_id": RequestId(f"r{number:04d}"),
         "pool": POOL,
@@ -70,7 +70,7 @@
 
 
 def make_catalog(desk: str | None = None, **upstreams: dict[str, Any]) -> Catalog:
-    """Return a catalog of two classes, two teams, a model, and perhaps a desk."""
+    """Return a catalog of two classes, two teams, a model, and optionally a desk."""
     declared_desk = [] if desk is None else _declare_desk(desk)
     declared: list[tuple[Kind, str, dict[str, Any]]] = [
         (
@@ -114,8 +114,8 @@
     return Catalog(cast(dict[ObjectKey, AnySpec], objects))
 
 
-def make_state(catalog: Catalog) -> ConfigState:
-    """Return the state in which a catalog is in force as version 1."""
+def make_config_state(catalog: Catalog) -> ConfigState:
+    """Return the state with a catalog in force as version 1."""
     change = build_change(ConfigState(), catalog, "test", "change-1")
     assert change is not None
     state, verdict = apply_record(ConfigState(), 0, dump_record(change))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Hypothesis profiles: the same verdict each run, and a longer hunt on demand."""
+"""Hypothesis profiles: deterministic by default, longer and random on demand."""
 
 from __future__ import annotations
 
--- a/tests/declarations/test_history.py
+++ b/tests/declarations/test_history.py
@@ -22,7 +22,7 @@
     restore_snapshot,
     take_snapshot,
 )
-from tests.builders import make_catalog, make_state
+from tests.builders import make_catalog, make_config_state
 from tests.fuzz import make_settings
 
 URGENT = ObjectKey(Kind.SERVICE_CLASS.value, "urgent")
@@ -42,7 +42,7 @@
 
 
 def test_of_two_racing_changes_the_first_in_the_log_wins() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     first, second = change_to(base, 0.1, "ada"), change_to(base, 0.2, "ben")
     state, verdict = apply_record(base, 1, first)
     assert verdict is not None and verdict.accepted
@@ -55,7 +55,7 @@
 
 
 def test_a_change_is_refused_as_a_whole() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     state, _ = apply_record(base, 1, change_to(base, 0.1, "ada"))
     wanted = with_floor(make_catalog(extra={}), 0.3)
     change = build_change(base, wanted, "ben")
@@ -66,7 +66,7 @@
 
 
 def test_a_change_that_leaves_a_name_undeclared_is_refused() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     objects = {key: spec for key, spec in base.catalog.objects.items() if key != URGENT}
     change = build_change(base, Catalog(objects), "ada")
     assert change is not None
@@ -77,13 +77,13 @@
 
 
 def test_records_of_others_only_move_the_version() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     state, verdict = apply_record(base, 1, b"not ours")
     assert verdict is None and state.entries == base.entries and state.version == 2
 
 
 def test_a_snapshot_restores_the_same_state() -> None:
-    state = make_state(make_catalog())
+    state = make_config_state(make_catalog())
     snapshot = parse_snapshot(dump_record(take_snapshot(state)))
     assert snapshot is not None
     restored = restore_snapshot(snapshot)
--- a/tests/directory/test_follower.py
+++ b/tests/directory/test_follower.py
@@ -41,7 +41,7 @@
         kept = [record for record in newest.values() if record.value is not None]
         return KeyedPage(tuple(kept), len(self.topics[topic]))
 
-    def read_after(self, topic: str, offset: int, wait: float) -> KeyedPage:
+    def read_from(self, topic: str, offset: int, wait: float) -> KeyedPage:
         self._check()
         if topic in self.forgotten:
             raise HistoryLost("gone")
@@ -162,7 +162,7 @@
 
 
 def test_an_unforeseen_error_does_not_end_the_following(followed: Followed) -> None:
-    read = followed.store.read_after
+    read = followed.store.read_from
     faults: list[str] = []
 
     def stumble(topic: str, offset: int, wait: float) -> KeyedPage:
@@ -171,7 +171,7 @@
             raise KeyError("unforeseen")
         return read(topic, offset, wait)
 
-    followed.store.read_after = stumble  # type: ignore[method-assign]
+    followed.store.read_from = stumble  # type: ignore[method-assign]
     followed.store.topics["config"].append(config_record(0, 1))
     followed.follower.start()
     wait_for(lambda: len(faults) == 2)
@@ -206,13 +206,13 @@
     )
     follower.read_now()
     assert follower._answered["upstreams"] == pytest.approx(clock.now(), abs=1.0)
-    real_read = store.read_after
+    real_read = store.read_from
 
     def sleep_and_read(topic: str, offset: int, wait: float) -> KeyedPage:
         clock.slept += 20.0
         return real_read(topic, offset, wait)
 
-    store.read_after = sleep_and_read  # type: ignore[method-assign]
+    store.read_from = sleep_and_read  # type: ignore[method-assign]
     follower.read_now()
     assert clock.now() - follower._answered["upstreams"] > 19.0
     assert directory.list_age(clock.now()) > 19.0
--- a/tests/directory/virtual.py
+++ b/tests/directory/virtual.py
@@ -134,7 +134,7 @@
         kept = [record for record in newest.values() if record.value is not None]
         return KeyedPage(tuple(kept), len(shown))
 
-    def read_after(self, topic: str, offset: int, wait: float) -> KeyedPage:
+    def read_from(self, topic: str, offset: int, wait: float) -> KeyedPage:
         """Return records from ``offset`` on, waiting for the first."""
         call = self._begin()
         records = self.topics.get(topic, [])
--- a/tests/eventlog/test_log_file.py
+++ b/tests/eventlog/test_log_file.py
@@ -1,4 +1,4 @@
-"""Log lines are written behind the decisions, whole and in order."""
+"""Log lines are written in the background, complete and in order."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert own[0]["text"] == "route: decision 0."
 
 
-def test_a_file_that_takes_nothing_holds_nobody_up(tmp_path: Path) -> None:
+def test_a_full_queue_drops_lines_and_never_blocks(tmp_path: Path) -> None:
     destination = LogFile(tmp_path / "log")
     for number in range(25_000):
         destination({"number": number})
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -1,4 +1,4 @@
-"""How long generated tests hunt: briefly in CI, as long as asked by ``make fuzz``."""
+"""How many examples generated tests run: few in CI, more with ``make fuzz``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import settings
 
 FUZZ_VARIABLE = "RUDDERPASS_FUZZ"
-"""Multiplies the number of examples; seeds are then random."""
+"""Multiplies the number of examples; setting it also makes seeds random."""
 
 
 def make_settings(examples: int, steps: int = 50) -> settings:
--- a/tests/host/test_command.py
+++ b/tests/host/test_command.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 
 from rudderpass.cli import main
-from rudderpass.hostd import find_listen, open_listener
+from rudderpass.hostd import find_listen_address, open_listener
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
 def test_the_address_is_found_among_the_arguments(
     arguments: list[str], found: str | None
 ) -> None:
-    assert find_listen(arguments) == found
+    assert find_listen_address(arguments) == found
 
 
 def test_a_caller_may_connect_before_anybody_accepts() -> None:
--- a/tests/host/test_duties.py
+++ b/tests/host/test_duties.py
@@ -11,7 +11,7 @@
 from rudderpass.duties import HoldingRule
 from rudderpass.host import DutySettings, ExchangeHost, OrderMode
 from tests.host.test_host import Deployment, read_gauge, wait_for
-from tests.platform.cloud import CloudStand
+from tests.platform.cloud import StandInCloud
 
 SCALING: dict[str, object] = {
     "min": 1,
@@ -30,7 +30,7 @@
     """Hosts whose platform has duties, and callers of theirs."""
 
     deployment: Deployment = field(default_factory=Deployment)
-    cloud: CloudStand = field(default_factory=CloudStand)
+    cloud: StandInCloud = field(default_factory=StandInCloud)
     hosts: list[ExchangeHost] = field(default_factory=list)
     asked: int = 0
 
--- a/tests/listener.py
+++ b/tests/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that serves each connection in a thread of its own."""
+"""A listening socket that serves each connection in its own thread."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Listener:
     """Accepts connections on a free port until it is closed.
 
-    :param serve: takes a connection and closes it when done.
+    :param serve: handles a connection, and closes it when done.
     """
 
     def __init__(self, serve: Callable[[socket.socket], None]) -> None:
@@ -21,16 +21,16 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which it listens."""
         return self._address
 
     def close(self) -> None:
-        """Accept no more; connections that are open go on."""
+        """Accept no more connections; open ones stay open."""
         try:
-            # A close alone would let a waiting accept take one more connection.
+            # Without a shutdown, a blocked accept would take one more connection.
             self._socket.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # It was closed before.
+            pass  # Already closed.
         self._socket.close()
 
     def _accept(self) -> None:
--- a/tests/node/test_platform_faults.py
+++ b/tests/node/test_platform_faults.py
@@ -21,7 +21,7 @@
 from rudderpass.node._follower import hosts_interval
 from rudderpass.node._snapshots import SnapshotWriter
 from rudderpass.publishing import replay_page
-from tests.builders import ZONE, make_catalog, make_state
+from tests.builders import ZONE, make_catalog, make_config_state
 
 A, B = NodeId("10.0.0.1:7000"), NodeId("10.0.0.2:7000")
 
@@ -43,7 +43,7 @@
 
 def test_a_node_without_configuration_takes_a_peers() -> None:
     cores = {A: make_core(A), B: make_core(B)}
-    cores[A].take_config(make_state(make_catalog()), "log", 0.0)
+    cores[A].take_config(make_config_state(make_catalog()), "log", 0.0)
     assert not cores[B].is_ready
     pass_messages(cores, A, [*cores[A].tick(1.0)])
     assert cores[B].is_ready
@@ -60,7 +60,7 @@
 
 def test_an_older_configuration_is_never_taken() -> None:
     core = make_core(A)
-    old = make_state(make_catalog())
+    old = make_config_state(make_catalog())
     change = build_change(old, make_catalog(extra={}), "ada")
     assert change is not None
     new, _ = apply_record(old, 1, dump_record(change))
@@ -71,7 +71,7 @@
 
 def test_a_peer_with_an_older_configuration_is_not_asked() -> None:
     cores = {A: make_core(A), B: make_core(B)}
-    cores[A].take_config(make_state(make_catalog()), "log", 0.0)
+    cores[A].take_config(make_config_state(make_catalog()), "log", 0.0)
     pass_messages(cores, B, [*cores[B].tick(1.0)])
     assert cores[A].config.version == 1
 
@@ -88,7 +88,7 @@
 )
 def test_a_snapshot_is_written_when_due(age: float, mine: bool, written: bool) -> None:
     service = MemoryLog()
-    state = make_state(make_catalog())
+    state = make_config_state(make_catalog())
     writer = SnapshotWriter(service, 100, lambda: state, lambda: 0.0, lambda: mine)
     assert writer.write_if_due(age) is written
     assert len(service.records) == written
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -40,7 +40,7 @@
     Shed,
 )
 from rudderpass.routing import Ending, Usage
-from tests.builders import POOL, make_work
+from tests.builders import POOL, make_reservation
 
 TIMEOUT = 10.0
 OLD, NEW = b"an-old-secret-of-tests", b"a-new-secret-of-tests"
@@ -48,7 +48,7 @@
 ZONE = AvailabilityZone("nasr")
 
 MESSAGES: list[PeerMessage] = [
-    Reserve(make_work(1, arrived=5.0, prefix_hash=2**62, gap_target=0.03)),
+    Reserve(make_reservation(1, arrived=5.0, prefix_hash=2**62, gap_target=0.03)),
     Cancel(POOL, R0),
     Queued(POOL, R0),
     Grant(POOL, R0, U1, 2**60),
@@ -68,7 +68,7 @@
 
 
 def test_a_time_is_carried_as_an_age() -> None:
-    sent = Reserve(make_work(1, arrived=5.0))
+    sent = Reserve(make_reservation(1, arrived=5.0))
     got = from_wire(to_wire(sent, 7.0), 107.0)
     assert isinstance(got, Reserve) and got.reservation.arrived == 105.0
 
--- a/tests/platform/store.py
+++ b/tests/platform/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: keyed topics over HTTP, with faults."""
+"""A stand-in for the platform's store: keyed topics over HTTP, with injected faults."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 class _Topic:
     records: list[tuple[str, bytes]] = field(default_factory=list)
     first: int = 0
-    """Records below this offset were dropped."""
+    """Records below this offset were compacted."""
 
 
 class StandInStore:
-    """Keeps records in memory; faults are set by the test.
+    """Keeps records in memory; tests inject faults.
 
-    :ivar status: every call is answered so while it is not 0.
-    :ivar page: entries of one page of a list.
+    :ivar status: unless it is 0, every call gets this status.
+    :ivar page_size: entries in one page of a list.
     """
 
     def __init__(self) -> None:
         self.status = 0
-        self.page = 500
+        self.page_size = 500
         self.calls: list[str] = []
         self._topics: dict[str, _Topic] = {}
         self._changed = threading.Condition()
@@ -50,7 +50,7 @@
             return len(records) - 1
 
     def _append(self, topic: str, expected: str | None, key: str, value: bytes) -> bool:
-        """Append unless the topic ends elsewhere than the call expects."""
+        """Append unless the topic does not end at the expected offset."""
         with self._changed:
             end = len(self._topics.setdefault(topic, _Topic()).records)
             if expected is not None and int(expected) != end:
@@ -64,8 +64,8 @@
 
     def compact(self, topic: str) -> None:
         with self._changed:
-            kept = self._topics.setdefault(topic, _Topic())
-            kept.first = len(kept.records)
+            stored = self._topics.setdefault(topic, _Topic())
+            stored.first = len(stored.records)
             self._changed.notify_all()
 
     def close(self) -> None:
@@ -77,11 +77,11 @@
         query = dict(urllib.parse.parse_qsl(environ["QUERY_STRING"]))
         self.calls.append(environ["PATH_INFO"])
         body = environ["wsgi.input"].read()
-        status, answer = self._answer(environ["PATH_INFO"], query, body)
-        start_response(f"{status} Status", [("Content-Length", str(len(answer)))])
-        return [answer]
+        status, content = self._handle(environ["PATH_INFO"], query, body)
+        start_response(f"{status} Status", [("Content-Length", str(len(content)))])
+        return [content]
 
-    def _answer(
+    def _handle(
         self, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, bytes]:
         if self.status:
@@ -105,7 +105,7 @@
         keys = sorted(key for key, (_, value) in newest.items() if value)
         if after is not None:
             keys = [key for key in keys if key > after]
-        shown = keys[: self.page]
+        shown = keys[: self.page_size]
         items = [
             {
                 "tlsKey": key,
@@ -122,13 +122,13 @@
         return json.dumps(page).encode()
 
     def _read(self, topic: _Topic, offset: int, wait_ms: int) -> tuple[int, bytes]:
-        until = time.monotonic() + wait_ms / 1000
+        deadline = time.monotonic() + wait_ms / 1000
         with self._changed:
             while len(topic.records) <= offset and not self.status:
-                left = until - time.monotonic()
-                if left <= 0:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
                     break
-                self._changed.wait(min(left, 0.2))
+                self._changed.wait(min(remaining, 0.2))
             if offset < topic.first:
                 return 410, b""
             body = struct.pack(">QQ", len(topic.records), topic.first)
--- a/tests/platform/test_cloud.py
+++ b/tests/platform/test_cloud.py
@@ -1,4 +1,4 @@
-"""Calls for duties: what is sent, and what each answer says of what was done."""
+"""Calls for duties: what is sent, and what each status says about the outcome."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from rudderpass._ids import AvailabilityZone, FencingToken, PoolId, TeamId
 from rudderpass.duties import CallResult, ScaleSubject, WindowUsage
 from rudderpass.platform import CloudApi
-from tests.platform.cloud import CloudCall, CloudStand
+from tests.platform.cloud import CloudCall, StandInCloud
 
 TOKEN = FencingToken(12)
 USAGE = WindowUsage(353445120, {TeamId("hule930"): 412})
 SPOT = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), True)
-USUAL = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), False)
+REGULAR = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), False)
 
 
 @pytest.fixture
-def cloud() -> Iterator[CloudStand]:
-    stand = CloudStand()
-    yield stand
-    stand.close()
+def cloud() -> Iterator[StandInCloud]:
+    stand_in = StandInCloud()
+    yield stand_in
+    stand_in.close()
 
 
-def test_a_report_names_holder_token_window_and_counts(cloud: CloudStand) -> None:
+def test_a_report_carries_holder_token_window_and_counts(cloud: StandInCloud) -> None:
     api = CloudApi(cloud.address)
     assert api.report_usage("edge-1", TOKEN, USAGE) is CallResult.DONE
     body = {"window": 353445120, "counts": {"hule930": 412}}
     assert cloud.calls == [CloudCall("/usage-reports", "edge-1", 12, body, 200)]
 
 
-@pytest.mark.parametrize(("subject", "extra"), [(USUAL, {}), (SPOT, {"spot": True})])
-def test_an_order_names_service_zone_number_and_kind(
-    cloud: CloudStand, subject: ScaleSubject, extra: dict[str, bool]
+@pytest.mark.parametrize(("subject", "extra"), [(REGULAR, {}), (SPOT, {"spot": True})])
+def test_a_scaling_call_carries_service_zone_count_and_kind(
+    cloud: StandInCloud, subject: ScaleSubject, extra: dict[str, bool]
 ) -> None:
     api = CloudApi(cloud.address)
-    assert api.order_upstreams("edge-1", TOKEN, subject, 6) is CallResult.DONE
+    assert api.set_desired_count("edge-1", TOKEN, subject, 6) is CallResult.DONE
     body = {"service": "huvo11a", "zone": "nasr-hall", "desiredCount": 6, **extra}
     assert cloud.calls == [CloudCall("/scale", "edge-1", 12, body, 200)]
 
@@ -54,14 +54,14 @@
         (502, CallResult.UNKNOWN),
     ],
 )
-def test_an_answer_says_whether_it_was_done(
-    cloud: CloudStand, status: int, result: CallResult
+def test_the_status_decides_the_result(
+    cloud: StandInCloud, status: int, result: CallResult
 ) -> None:
     cloud.status = status
     assert CloudApi(cloud.address).report_usage("edge-1", TOKEN, USAGE) is result
 
 
-def test_without_an_answer_nobody_knows() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as deaf:
-        address = f"127.0.0.1:{deaf.getsockname()[1]}"
+def test_without_a_response_the_result_is_unknown() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as closed:
+        address = f"127.0.0.1:{closed.getsockname()[1]}"
     assert CloudApi(address).report_usage("e", TOKEN, USAGE) is CallResult.UNKNOWN
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""The wire's headers: what is passed on, what is set, and what an answer says."""
+"""The platform's headers: which are forwarded and set, and how they are parsed."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     }
 
 
-def test_a_request_is_read_whole() -> None:
+def test_a_request_is_parsed() -> None:
     request = DIALECT.read_request(environ(), b"body")
     assert request.target == "/a%2Fb/../c?x=%20"
     assert request.path == "/a%2Fb/../c"
@@ -49,7 +49,7 @@
     assert request.output_tokens == 80
 
 
-def test_what_the_system_sets_is_never_the_callers() -> None:
+def test_headers_that_the_host_sets_ignore_the_callers_values() -> None:
     request = DIALECT.read_request(environ(), b"body")
     facts = SendFacts(UpstreamName("i-1"), TeamId("team"), 0.75, 3, "7")
     sent = {name.lower(): value for name, value in DIALECT.write_send(request, facts)}
@@ -69,7 +69,7 @@
 def test_each_named_header_reaches_an_upstream_only_from_its_owner(
     name: str, owner: Owner
 ) -> None:
-    """Of two equal names an engine may take either, so there must be one at most."""
+    """An engine may use either of two headers of one name, so one at most is sent."""
     variable = "HTTP_" + name.upper().replace("-", "_")
     forged = "77" if owner is not Owner.CALLER else environ().get(variable, "ab:7")
     request = DIALECT.read_request(environ(**{variable: forged}), b"body")
@@ -83,7 +83,7 @@
         assert forged not in sent and len(sent) <= 1
 
 
-def test_a_header_that_the_platform_does_not_name_is_passed_on() -> None:
+def test_a_header_that_the_platform_does_not_define_is_forwarded() -> None:
     request = DIALECT.read_request(environ(HTTP_X_TRACE="t1"), b"body")
     assert ("X-Trace", "t1") in request.headers
 
@@ -93,7 +93,7 @@
     ["9" * 5000, "999999999", "\u00b2", "-5", "1.5", ""],
     ids=["endless", "too long", "no ascii digit", "negative", "broken", "empty"],
 )
-def test_counts_that_are_none_are_passed_over(tokens: str) -> None:
+def test_invalid_counts_are_ignored(tokens: str) -> None:
     changes = {
         "HTTP_X_PROMPT_PREFIX": f"ab:800,cd:{tokens}",
         "HTTP_X_TOKEN_COUNT": f"820,{tokens}",
@@ -122,7 +122,7 @@
     ],
     ids=["no id", "no number", "no path"],
 )
-def test_a_bad_head_is_refused(changes: dict[str, str]) -> None:
+def test_an_invalid_head_is_rejected(changes: dict[str, str]) -> None:
     with pytest.raises(BadRequest):
         DIALECT.read_request(environ(**changes), b"")
 
@@ -151,12 +151,14 @@
         (400, {"X-Not-Executed": "1"}, "NOT_RUN"),
     ],
 )
-def test_what_an_answer_says(status: int, headers: dict[str, str], kind: str) -> None:
+def test_responses_are_classified(
+    status: int, headers: dict[str, str], kind: str
+) -> None:
     head = DIALECT.read_answer(status, "", list(headers.items()), REQUEST)
     assert head.kind is AnswerKind[kind]
 
 
-def test_an_answers_own_headers_are_passed_on_and_its_connections_are_not() -> None:
+def test_hop_by_hop_headers_of_a_response_are_not_forwarded() -> None:
     headers = [
         ("X-Request-Id", "r1"),
         ("X-Response-Signature", "s"),
@@ -173,7 +175,7 @@
     assert names == ["X-Request-Id", "X-Response-Signature", "Content-Type"]
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_carries_retry_after() -> None:
     assert ("Retry-After", "0.400") in DIALECT.write_refusal("r1", 0.4)
     names = [name for name, _ in DIALECT.write_refusal("r1", None)]
     assert "Retry-After" not in names
@@ -197,7 +199,7 @@
     assert DIALECT.read_answer(200, "OK", headers, REQUEST).rate_limit == rate
 
 
-def test_an_answer_without_the_header_has_no_rate_limit() -> None:
+def test_a_response_without_the_header_has_no_rate_limit() -> None:
     assert DIALECT.read_answer(200, "OK", [], REQUEST).rate_limit is None
 
 
--- a/tests/platform/test_mutated_records.py
+++ b/tests/platform/test_mutated_records.py
@@ -1,4 +1,4 @@
-"""Whatever stands in a record, it is read or it raises the one error."""
+"""A record with any content is decoded, or raises the documented error."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from rudderpass.errors import PlatformError, UnusableRecord
 from rudderpass.platform import decode_config, decode_upstream
-from rudderpass.platform._schemas import KeptList, Schema
+from rudderpass.platform._schemas import CachedPartList, Schema
 from tests.fuzz import make_settings
 from tests.platform.test_records import CONFIG, ENTRY, encode_entry
 
-KEPT = {"epoch": "e", "nextPageToken": 3, "held": [["", "ab", 800, "m"]], "born": 5}
+CACHED = {"epoch": "e", "nextPageToken": 3, "held": [["", "ab", 800, "m"]], "born": 5}
 
-_ODD = st.one_of(
+_ODD_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(),
@@ -28,15 +28,15 @@
 
 @st.composite
 def mutated(draw: st.DrawFn, good: dict[str, Any]) -> bytes:
-    """Return a good record's bytes with something changed at some depth."""
+    """Return the bytes of a valid record with a change at some depth."""
     value = json.loads(json.dumps(good))
-    place: Any = value
+    container: Any = value
     for _ in range(draw(st.integers(0, 4))):
-        inner = [item for item in _items(place) if isinstance(item, (dict, list))]
+        inner = [item for item in _items(container) if isinstance(item, (dict, list))]
         if not inner:
             break
-        place = draw(st.sampled_from(inner))
-    _change(draw, place)
+        container = draw(st.sampled_from(inner))
+    _change(draw, container)
     data = json.dumps(value).encode()
     match draw(st.integers(0, 5)):
         case 0:
@@ -53,24 +53,24 @@
             return data
 
 
-def _items(place: Any) -> list[Any]:
-    return list(place.values()) if isinstance(place, dict) else list(place)
+def _items(container: Any) -> list[Any]:
+    return list(container.values()) if isinstance(container, dict) else list(container)
 
 
-def _change(draw: st.DrawFn, place: Any) -> None:
-    if isinstance(place, dict) and place:
-        key = draw(st.sampled_from(sorted(place)))
+def _change(draw: st.DrawFn, container: Any) -> None:
+    if isinstance(container, dict) and container:
+        key = draw(st.sampled_from(sorted(container)))
         if draw(st.booleans()):
-            place[key] = draw(_ODD)
+            container[key] = draw(_ODD_VALUES)
         else:
-            del place[key]
-    elif isinstance(place, list) and place:
-        place[draw(st.integers(0, len(place) - 1))] = draw(_ODD)
+            del container[key]
+    elif isinstance(container, list) and container:
+        container[draw(st.integers(0, len(container) - 1))] = draw(_ODD_VALUES)
 
 
 @make_settings(300)
 @given(mutated(ENTRY), st.text(max_size=8))
-def test_an_upstreams_entry_is_usable_or_the_one_error(data: bytes, key: str) -> None:
+def test_an_upstream_entry_is_decoded_or_unusable(data: bytes, key: str) -> None:
     try:
         entry = decode_upstream(key, data)
     except UnusableRecord:
@@ -84,7 +84,7 @@
 
 @make_settings(300)
 @given(mutated(CONFIG))
-def test_a_configuration_is_read_or_the_one_error(data: bytes) -> None:
+def test_a_configuration_is_decoded_or_unusable(data: bytes) -> None:
     try:
         config = decode_config(data)
     except PlatformError:
@@ -93,21 +93,21 @@
 
 
 @make_settings(200)
-@given(mutated(KEPT))
-def test_a_list_of_kept_parts_is_read_or_the_one_error(data: bytes) -> None:
+@given(mutated(CACHED))
+def test_a_list_of_cached_parts_is_decoded_or_unusable(data: bytes) -> None:
     try:
-        kept = Schema(KeptList, "list").read(data)
+        cached = Schema(CachedPartList, "list").read(data)
     except UnusableRecord:
         return
-    assert all(tokens >= 0 for _, _, tokens, _ in kept.held)
+    assert all(tokens >= 0 for _, _, tokens, _ in cached.held)
 
 
 @make_settings(200)
 @given(st.binary(max_size=60))
-def test_bytes_are_no_record(data: bytes) -> None:
+def test_random_bytes_are_not_a_record(data: bytes) -> None:
     with pytest.raises(UnusableRecord):
         decode_upstream("i-1", data)
 
 
-def test_the_good_record_is_what_is_mutated() -> None:
+def test_the_record_is_valid_before_the_mutation() -> None:
     assert decode_upstream("i-1", encode_entry()).slots == ENTRY["slots"]
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Configuration and upstream records become the product's types, or an error."""
+"""Configuration and upstream records are decoded, or rejected with an error."""
 
 from __future__ import annotations
 
@@ -57,15 +57,15 @@
 }
 
 
-def test_a_configuration_is_read() -> None:
+def test_a_configuration_is_decoded() -> None:
     config = decode_config(json.dumps(CONFIG).encode())
     stream = config.match("SHOP.example", "/a/x")
-    desk = config.match("shop.example", "/a/b/x")
-    assert stream is not None and desk is not None
+    plain = config.match("shop.example", "/a/b/x")
+    assert stream is not None and plain is not None
     assert stream.kind is RouteKind.STREAM and stream.is_repeatable
     assert (stream.timeout, stream.target_latency, stream.gap_target) == (12, 2.5, 1.2)
-    assert desk.kind is RouteKind.AT_MOST_ONCE and not desk.is_repeatable
-    assert desk.service_for("any") == PoolId("two")
+    assert plain.kind is RouteKind.AT_MOST_ONCE and not plain.is_repeatable
+    assert plain.service_for("any") == PoolId("two")
     assert config.match("shop.example", "/b/") is None
     team = config.find_team("k2")
     assert team is not None and team.tier == 1
@@ -76,7 +76,7 @@
     assert config.limits.idle_timeout == 15.0
 
 
-def test_a_split_follows_its_weights() -> None:
+def test_a_traffic_split_follows_its_weights() -> None:
     route = decode_config(json.dumps(CONFIG).encode()).routes[0]
     chosen = [route.service_for(str(key)) for key in range(2000)]
     assert 1700 < chosen.count(PoolId("one")) < 1900
@@ -113,7 +113,7 @@
     "coldRemainingMs": 0,
     "sequence": 4,
 }
-"""What an upstream records of itself."""
+"""The registration that an upstream writes."""
 
 
 def encode_entry(**changes: Any) -> bytes:
@@ -122,7 +122,7 @@
     return json.dumps({k: v for k, v in changed.items() if v is not ...}).encode()
 
 
-def test_an_upstream_is_read() -> None:
+def test_an_upstream_is_decoded() -> None:
     entry = decode_upstream("i-1", encode_entry(state="draining"))
     assert entry.upstream == UpstreamId("i-1")
     assert entry.name == UpstreamName("i-1")
@@ -136,12 +136,12 @@
     assert not decode_upstream("i-1", encode_entry()).leaving
 
 
-def test_unknown_further_fields_are_fine() -> None:
+def test_unknown_fields_are_ignored() -> None:
     more = encode_entry(stage="hybrid", models=[{"name": "m"}], load=[1, {"a": None}])
     assert decode_upstream("i-1", more) == decode_upstream("i-1", encode_entry())
 
 
-def test_two_starts_under_one_id_are_two_upstreams() -> None:
+def test_two_instances_with_one_id_are_two_upstreams() -> None:
     old = decode_upstream("i-1", encode_entry(born=1_764_720_000_000))
     new = decode_upstream("i-1", encode_entry(born=1_764_720_000_001))
     assert old.name == new.name
@@ -209,13 +209,13 @@
 
 
 @pytest.mark.parametrize("data", MALFORMED.values(), ids=MALFORMED)
-def test_an_entry_that_no_upstream_wrote_names_none(data: bytes) -> None:
+def test_a_malformed_entry_is_unusable(data: bytes) -> None:
     with pytest.raises(UnusableRecord):
         decode_upstream("i-1", data)
 
 
 @pytest.mark.parametrize("key", ["", "i 1", "i\n1", "i\ufffd1", "\x00", "i" * 201])
-def test_a_key_that_fits_no_header_names_no_upstream(key: str) -> None:
+def test_a_key_that_cannot_be_a_header_value_is_unusable(key: str) -> None:
     with pytest.raises(UnusableRecord) as raised:
         decode_upstream(key, encode_entry())
     assert raised.value.reason is UnusableReason.KEY
@@ -230,7 +230,9 @@
         (encode_entry(state="resting"), UnusableReason.FIELD),
     ],
 )
-def test_an_unusable_entry_says_why(data: bytes, reason: UnusableReason) -> None:
+def test_an_unusable_entry_carries_the_reason(
+    data: bytes, reason: UnusableReason
+) -> None:
     with pytest.raises(UnusableRecord) as raised:
         decode_upstream("i-1", data)
     assert raised.value.reason is reason
@@ -250,7 +252,7 @@
     return json.dumps({**CONFIG, "services": [service]}).encode()
 
 
-def test_a_service_whose_upstreams_can_be_ordered_is_read() -> None:
+def test_a_service_that_can_be_scaled_is_decoded() -> None:
     traits = decode_config(with_scaling(SCALING)).services[0].scaling
     assert traits is not None
     assert (traits.least, traits.most, traits.boot) == (1, 30, 4.0)
@@ -271,14 +273,16 @@
         ({"spotPrice": "cheap"}, "scaling.spotPrice"),
     ],
 )
-def test_wrong_scaling_is_named(changes: dict[str, Any], field: str) -> None:
+def test_invalid_scaling_is_reported(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(UnusableRecord) as caught:
         decode_config(with_scaling({**SCALING, **changes}))
     assert field in caught.value.show()
 
 
 @pytest.mark.parametrize("is_spot", [True, False, None])
-def test_an_upstream_says_whether_it_may_be_taken_away(is_spot: bool | None) -> None:
+def test_an_entry_says_whether_the_upstream_is_a_spot_instance(
+    is_spot: bool | None,
+) -> None:
     entry = {
         "service": "one",
         "address": "10.0.0.1:80",
--- a/tests/platform/test_settings_file.py
+++ b/tests/platform/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file: read whole, or refused with the field and the reason."""
+"""The settings file is read, or rejected with the field and the reason."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return path
 
 
-def test_the_fields_are_read_and_unknown_ones_passed_over(tmp_path: Path) -> None:
+def test_the_fields_are_read_and_unknown_ones_ignored(tmp_path: Path) -> None:
     settings = read_settings_file(write(tmp_path, GOOD))
     assert settings.front == "10.1.0.40:8227"
     assert settings.ready == "10.1.0.40:8220"
@@ -58,14 +58,14 @@
         ('node = "edge-1"', "", "node", "is missing"),
         ('zone = "hall-a"', "zone = 3", "zone", "wrong type, int"),
         ("graceS = 8", "graceS = true", "graceS", "wrong type, bool"),
-        ("[7340, 7355]", "[]", "internalPortRange", "list of whole numbers"),
+        ("[7340, 7355]", "[]", "internalPortRange", "list of integers"),
         ("bootstrap = true", "bootstrap = 1", "bootstrap", "wrong type, int"),
-        ('seeds = ["10.1.0.41:8229"', "seeds = [4", "seeds", "list of texts"),
+        ('seeds = ["10.1.0.41:8229"', "seeds = [4", "seeds", "list of strings"),
         ("[platform]", "[other]", "platform", "is missing"),
         ("[bounds]", "[bounds", "TOML", "TOML"),
     ],
 )
-def test_a_bad_field_is_named(
+def test_an_invalid_field_is_reported(
     tmp_path: Path, old: str, new: str, field: str, reason: str
 ) -> None:
     path = write(tmp_path, GOOD.replace(old, new))
@@ -76,13 +76,13 @@
     assert caught.value.exit_code == 2
 
 
-def test_a_missing_file_is_named(tmp_path: Path) -> None:
+def test_a_missing_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
         read_settings_file(tmp_path / "none.toml")
     assert "none.toml" in caught.value.show()
 
 
-def test_a_start_counts_as_a_later_one_unless_said_otherwise(tmp_path: Path) -> None:
+def test_a_start_is_not_the_first_by_default(tmp_path: Path) -> None:
     text = GOOD.replace("bootstrap = true\n", "")
     assert not read_settings_file(write(tmp_path, text)).is_first_start
 
@@ -105,13 +105,13 @@
     return GOOD.replace("[platform]", DUTY_BOUNDS + "[platform]") + text
 
 
-def test_a_platform_without_duties_gives_none(tmp_path: Path) -> None:
+def test_without_known_duties_there_are_no_duty_settings(tmp_path: Path) -> None:
     assert read_settings_file(write(tmp_path, GOOD)).duties is None
     other = with_duties('[cloud]\naddress = "10.0.0.1:1"\nduties = ["other"]\n')
     assert read_settings_file(write(tmp_path, other)).duties is None
 
 
-def test_the_duties_are_read(tmp_path: Path) -> None:
+def test_the_duty_settings_are_read(tmp_path: Path) -> None:
     duties = read_settings_file(write(tmp_path, with_duties())).duties
     assert duties is not None
     assert duties.platform == "10.200.0.113:8424"
@@ -121,7 +121,7 @@
     assert (duties.window, duties.late) == (5.0, 10.0)
 
 
-def test_only_the_duties_that_are_named_are_done(tmp_path: Path) -> None:
+def test_only_listed_duties_are_enabled(tmp_path: Path) -> None:
     text = with_duties(DUTIES.replace('"usage_report", ', ""))
     text = text.replace("reportWindowS = 5\nusageLateS = 10\n", "")
     duties = read_settings_file(write(tmp_path, text)).duties
@@ -133,7 +133,7 @@
     ("old", "field"),
     [("leaseMs = 3000", "leaseMs"), ("reportWindowS = 5", "reportWindowS")],
 )
-def test_a_bound_that_a_duty_needs_is_named(
+def test_a_missing_bound_that_a_duty_needs_is_reported(
     tmp_path: Path, old: str, field: str
 ) -> None:
     path = write(tmp_path, with_duties().replace(old, ""))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a stand-in that speaks the published calls."""
+"""The store's client against a stand-in that implements the published calls."""
 
 from __future__ import annotations
 
@@ -26,14 +26,16 @@
     client.append(TOPIC, "a", b"1")
     client.append(TOPIC, "b", b"2")
     stand_in.put(TOPIC, "a", None)
-    page = client.read_after(TOPIC, 1, wait=0.0)
+    page = client.read_from(TOPIC, 1, wait=0.0)
     assert page.records == (KeyedRecord(1, "b", b"2"), KeyedRecord(2, "a", None))
     assert page.end == 3
 
 
-def test_a_wait_without_news_ends_empty(stand_in: StandInStore) -> None:
+def test_a_wait_without_new_records_returns_an_empty_page(
+    stand_in: StandInStore,
+) -> None:
     client = KeyedStore(stand_in.address)
-    page = client.read_after(TOPIC, 0, wait=0.05)
+    page = client.read_from(TOPIC, 0, wait=0.05)
     assert page.records == ()
     assert page.end == 0
 
@@ -41,7 +43,7 @@
 def test_a_list_of_many_pages_ends_where_its_first_page_does(
     stand_in: StandInStore,
 ) -> None:
-    stand_in.page = 2
+    stand_in.page_size = 2
     for number in range(5):
         stand_in.put(TOPIC, f"k{number}", b"v")
     page = KeyedStore(stand_in.address).read_newest(TOPIC)
@@ -49,11 +51,11 @@
     assert page.end == 5
 
 
-def test_dropped_records_are_told_apart(stand_in: StandInStore) -> None:
+def test_compacted_records_raise_their_own_error(stand_in: StandInStore) -> None:
     stand_in.put(TOPIC, "a", b"1")
     stand_in.compact(TOPIC)
     with pytest.raises(HistoryLost):
-        KeyedStore(stand_in.address).read_after(TOPIC, 0, wait=0.0)
+        KeyedStore(stand_in.address).read_from(TOPIC, 0, wait=0.0)
 
 
 @pytest.mark.parametrize("status", [503, 429, 500])
@@ -69,13 +71,13 @@
     assert client.read_newest(TOPIC).end == 0
 
 
-def test_a_store_that_is_not_there_is_an_error() -> None:
+def test_an_unreachable_store_is_an_error() -> None:
     with pytest.raises(PlatformError):
         KeyedStore("127.0.0.1:1").read_newest(TOPIC)
 
 
-def test_a_kept_connection_that_is_lost_is_told_apart(stand_in: StandInStore) -> None:
-    """It says nothing of the store, which may answer on a new one."""
+def test_a_lost_reused_connection_raises_its_own_error(stand_in: StandInStore) -> None:
+    """The store may still be available on a new connection."""
     client = KeyedStore(stand_in.address)
     client.read_newest(TOPIC)
     stand_in.close()
@@ -86,19 +88,21 @@
     assert not isinstance(caught.value, ConnectionLost), "a new one failed"
 
 
-def test_a_write_goes_in_only_where_the_topic_ends_as_expected(
+def test_a_conditional_append_requires_the_expected_end(
     stand_in: StandInStore,
 ) -> None:
     client = KeyedStore(stand_in.address)
-    assert client.append_at(TOPIC, 0, "a", b"1")
-    assert not client.append_at(TOPIC, 0, "a", b"2"), "somebody else wrote meanwhile"
-    assert client.append_at(TOPIC, 1, "b", b"3")
+    assert client.compare_and_append(TOPIC, 0, "a", b"1")
+    assert not client.compare_and_append(
+        TOPIC, 0, "a", b"2"
+    ), "somebody else wrote meanwhile"
+    assert client.compare_and_append(TOPIC, 1, "b", b"3")
     page = client.read_newest(TOPIC)
     assert page.records == (KeyedRecord(0, "a", b"1"), KeyedRecord(1, "b", b"3"))
     assert page.end == 2
 
 
-def test_a_write_that_is_not_answered_is_an_error(stand_in: StandInStore) -> None:
+def test_a_failed_conditional_append_is_an_error(stand_in: StandInStore) -> None:
     stand_in.status = 503
     with pytest.raises(PlatformError):
-        KeyedStore(stand_in.address).append_at(TOPIC, 0, "a", b"1")
+        KeyedStore(stand_in.address).compare_and_append(TOPIC, 0, "a", b"1")
--- a/tests/pools/test_entry.py
+++ b/tests/pools/test_entry.py
@@ -18,7 +18,7 @@
     Shed,
 )
 from rudderpass.routing import Ending, Usage
-from tests.builders import POOL, ZONE, make_work
+from tests.builders import POOL, ZONE, make_reservation
 
 OWNER, NEXT = NodeId("10.0.0.1:7000"), NodeId("10.0.0.2:7000")
 U1 = UpstreamId("u1")
@@ -27,7 +27,7 @@
 
 def make_desk() -> EntryDesk:
     desk = EntryDesk(ZONE)
-    desk.submit(make_work(0), OWNER, 0.0)
+    desk.submit(make_reservation(0), OWNER, 0.0)
     return desk
 
 
@@ -75,7 +75,7 @@
 
 def test_a_new_owner_is_told_everything() -> None:
     desk = make_desk()
-    desk.submit(make_work(1), OWNER, 0.0)
+    desk.submit(make_reservation(1), OWNER, 0.0)
     desk.grant(OWNER, grant())
     sent = [
         item.message for item in desk.set_owner(POOL, NEXT) if isinstance(item, Send)
--- a/tests/pools/test_owner.py
+++ b/tests/pools/test_owner.py
@@ -35,7 +35,7 @@
 )
 from rudderpass.pools._messages import OwnerAction
 from rudderpass.routing import Ending, Usage
-from tests.builders import POOL, ZONE, make_upstream, make_work
+from tests.builders import POOL, ZONE, make_reservation, make_upstream
 from tests.fuzz import make_settings
 
 ENTRY = NodeId("10.0.0.1:7000")
@@ -58,7 +58,7 @@
 
 def work(number: int, **changes: Any) -> Reserve:
     values = {"arrived": READY + number / 1000, **changes}
-    return Reserve(make_work(number, **values))
+    return Reserve(make_reservation(number, **values))
 
 
 def messages(actions: Sequence[object], kind: type[Any]) -> list[Any]:
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -14,7 +14,7 @@
     Usage,
     choose_upstream,
 )
-from tests.builders import ZONE, make_work
+from tests.builders import ZONE, make_reservation
 
 NOW = 1000.0
 
@@ -30,7 +30,7 @@
 
 def choose(*pool: UpstreamSlots, **changes: Any) -> str | None:
     values = {"arrived": NOW, "upstreams": (), "expected_tokens": 50.0, **changes}
-    return choose_upstream(make_work(0, **values), pool, NOW).chosen
+    return choose_upstream(make_reservation(0, **values), pool, NOW).chosen
 
 
 def test_the_faster_one_is_chosen() -> None:
@@ -57,7 +57,7 @@
     [({"leaving": True}, "leaving"), ({"running": 4}, "full")],
 )
 def test_why_one_is_ruled_out(changes: dict[str, Any], reason: str) -> None:
-    work = make_work(0, arrived=NOW, upstreams=())
+    work = make_reservation(0, arrived=NOW, upstreams=())
     choice = choose_upstream(work, [slots("a", **changes)], NOW)
     assert choice.chosen is None
     assert [out.reason for out in choice.ruled_out] == [reason]
@@ -75,7 +75,7 @@
     failing = slots("a")
     for _ in range(2):
         failing.health.note_usage(Usage(Ending.FAILED), ZONE, NOW)
-    work = make_work(0, arrived=NOW, upstreams=())
+    work = make_reservation(0, arrived=NOW, upstreams=())
     assert choose_upstream(work, [failing], NOW + 0.1).chosen is None
     assert choose_upstream(work, [failing], NOW + 3).chosen == "a"
     failing.running = 1
@@ -86,7 +86,7 @@
 
 def test_lengths_are_learned_and_corrected_while_a_stream_runs() -> None:
     lengths = LengthEstimator()
-    name = make_work(0).service_class
+    name = make_reservation(0).service_class
     before = lengths.expect(name, "r")
     for tokens in [10] * 50 + [500] * 50:
         lengths.record(name, "r", tokens)
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -17,7 +17,7 @@
 
 from rudderpass.exchange import BudgetRule
 from rudderpass.platform import CONFIG_TOPIC, SETTINGS_VARIABLE, UPSTREAMS_TOPIC
-from tests.platform.cloud import CloudStand
+from tests.platform.cloud import StandInCloud
 from tests.platform.store import StandInStore
 from tests.soak.proxy import LinkFault, Proxy
 from tests.soak.upstreams import RunBook, SoakUpstream
@@ -191,7 +191,7 @@
         self.crashes: list[EngineCrash] = []
         self._started = 0
         self.store = StandInStore()
-        self.cloud = CloudStand()
+        self.cloud = StandInCloud()
         self.book = RunBook()
         self.version = 0
         self.published: list[tuple[int, float]] = []
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -74,7 +74,7 @@
         *(fatal.find_breaches(faults) if has_fatal else ()),
         *find_late_work(deployment, faults),
         *find_overspending(deployment.book, callers.attempts),
-        *deployment.cloud.find_breaches(),
+        *deployment.cloud.find_violations(),
     ]
     statuses = Counter(attempt.status for attempt in callers.attempts)
     return Verdict(seed, dict(statuses), tuple(breaches), tuple(faults.history))
