--- a/src/rudderpass/platform/_caches.py
+++ b/src/rudderpass/platform/_caches.py
@@ -7,7 +7,7 @@
 
 from msgspec import UNSET
 
-from rudderpass.directory import RegisteredUpstream, identify_start
+from rudderpass.directory import RegisteredUpstream, make_instance_id
 from rudderpass.errors import UnusableRecord, UpstreamError
 from rudderpass.exchange import PartId, PromptPart
 from rudderpass.platform._schemas import CachedPartList, Schema
@@ -40,7 +40,7 @@
         raise _make_error(error.message, address) from error
     finally:
         connection.close()
-    if cached.born is not UNSET and entry.upstream != identify_start(
+    if cached.born is not UNSET and entry.upstream != make_instance_id(
         entry.name, cached.born
     ):
         raise _make_error("the upstream has restarted", address)
