--- a/src/rudderpass/directory/_follower.py
+++ b/src/rudderpass/directory/_follower.py
@@ -64,7 +64,7 @@
         :raises PlatformError: when the store does not answer.
         """
 
-    def read_after(self, topic: str, offset: int, wait: float) -> KeyedPage:
+    def read_from(self, topic: str, offset: int, wait: float) -> KeyedPage:
         """Return records from ``offset`` on, waiting for the first.
 
         :raises HistoryLost: when the store no longer holds them.
@@ -302,7 +302,7 @@
         with self._guard:
             offset = topic.next_offset()
         called_at = self._clock.now()
-        page = self._store.read_after(topic.topic, offset, wait)
+        page = self._store.read_from(topic.topic, offset, wait)
         as_of = self._clock.now()
         if as_of - called_at > wait + MAX_RESPONSE_SECONDS:
             as_of = called_at  # Suspended meanwhile; the response may be as old.
--- a/src/rudderpass/exchange/_connections.py
+++ b/src/rudderpass/exchange/_connections.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from rudderpass import _clock
-from rudderpass._sockets import watch_liveness
-from rudderpass.errors import NobodyListens, UpstreamError
+from rudderpass._sockets import set_tcp_options
+from rudderpass.errors import ConnectionRefused, UpstreamError
 from rudderpass.exchange._request import ExchangeRequest, Headers
 
 CONNECT_TIMEOUT_SECONDS = 0.4
@@ -161,11 +161,11 @@
             connection.connect()
         except OSError as error:
             is_refused = isinstance(error, ConnectionRefusedError)
-            error_type = NobodyListens if is_refused else UpstreamError
+            error_type = ConnectionRefused if is_refused else UpstreamError
             raise error_type(
                 f"could not connect: {error}", sent=False, step="connect", peer=address
             ) from error
-        watch_liveness(connection.sock)
+        set_tcp_options(connection.sock)
         return UpstreamConnection(connection, address, is_reused=False)
 
     def has_crashed(self, address: str) -> bool:
@@ -194,7 +194,7 @@
     def _refuses_connection(self, address: str) -> bool:
         try:
             connection = self.open(address, False, CRASH_CHECK_TIMEOUT_SECONDS)
-        except NobodyListens:
+        except ConnectionRefused:
             return True
         except UpstreamError:
             return False  # A timeout may be a network partition.
--- a/src/rudderpass/exchange/_quarantine_gate.py
+++ b/src/rudderpass/exchange/_quarantine_gate.py
@@ -10,7 +10,7 @@
 from rudderpass.errors import (
     CallerGone,
     ConnectionCut,
-    NobodyListens,
+    ConnectionRefused,
     StaleConnection,
     UpstreamError,
 )
@@ -116,7 +116,7 @@
         self.close()
         if isinstance(error, UpstreamFailureResponse):
             self.record_complete_response()
-        if isinstance(error, NobodyListens):
+        if isinstance(error, ConnectionRefused):
             self._record_crash(assigned)
         if not isinstance(error, ConnectionCut):
             return True
--- a/src/rudderpass/host/_duty_access.py
+++ b/src/rudderpass/host/_duty_access.py
@@ -34,7 +34,7 @@
         :raises PlatformError: when the store does not answer.
         """
 
-    def append_at(self, topic: str, end: int, key: str, value: bytes) -> bool:
+    def compare_and_append(self, topic: str, end: int, key: str, value: bytes) -> bool:
         """Append a record if the topic still ends at ``end``; return whether it did.
 
         :raises PlatformError: when it is unknown whether the record was written.
@@ -49,7 +49,7 @@
     ) -> CallResult:
         """Report the usage of one window."""
 
-    def order_upstreams(
+    def set_desired_count(
         self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
     ) -> CallResult:
         """Order ``count`` upstreams."""
--- a/src/rudderpass/host/_suspension.py
+++ b/src/rudderpass/host/_suspension.py
@@ -37,11 +37,11 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._last_suspended = _clock.read_suspended()
+        self._last_suspended = _clock.suspended_seconds()
 
     def take_suspended_seconds(self) -> float:
         """Return seconds suspended since the last call; 0 below the minimum."""
-        suspended = _clock.read_suspended()
+        suspended = _clock.suspended_seconds()
         if suspended - self._last_suspended < MIN_SUSPENSION_SECONDS:
             return 0.0
         with self._lock:
--- a/tests/directory/test_follower.py
+++ b/tests/directory/test_follower.py
@@ -41,7 +41,7 @@
         kept = [record for record in newest.values() if record.value is not None]
         return KeyedPage(tuple(kept), len(self.topics[topic]))
 
-    def read_after(self, topic: str, offset: int, wait: float) -> KeyedPage:
+    def read_from(self, topic: str, offset: int, wait: float) -> KeyedPage:
         self._check()
         if topic in self.truncated:
             raise HistoryLost("gone")
@@ -166,7 +166,7 @@
 def test_an_unexpected_error_does_not_stop_the_follower(
     harness: FollowerHarness,
 ) -> None:
-    read = harness.store.read_after
+    read = harness.store.read_from
     faults: list[str] = []
 
     def fail_twice(topic: str, offset: int, wait: float) -> KeyedPage:
@@ -175,7 +175,7 @@
             raise KeyError("unforeseen")
         return read(topic, offset, wait)
 
-    harness.store.read_after = fail_twice  # type: ignore[method-assign]
+    harness.store.read_from = fail_twice  # type: ignore[method-assign]
     harness.store.topics["config"].append(config_record(0, 1))
     harness.follower.start()
     wait_for(lambda: len(faults) == 2)
@@ -210,13 +210,13 @@
     )
     follower.read_now()
     assert follower._confirmed_at["upstreams"] == pytest.approx(clock.now(), abs=1.0)
-    real_read = store.read_after
+    real_read = store.read_from
 
     def read_after_suspension(topic: str, offset: int, wait: float) -> KeyedPage:
         clock.suspended_seconds += 20.0
         return real_read(topic, offset, wait)
 
-    store.read_after = read_after_suspension  # type: ignore[method-assign]
+    store.read_from = read_after_suspension  # type: ignore[method-assign]
     follower.read_now()
     assert clock.now() - follower._confirmed_at["upstreams"] > 19.0
     assert directory.list_age(clock.now()) > 19.0
--- a/tests/host/test_command.py
+++ b/tests/host/test_command.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 
 from rudderpass.cli import main
-from rudderpass.hostd import find_listen, open_listener
+from rudderpass.hostd import find_listen_address, open_listener
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
 def test_the_listen_address_is_found_among_the_arguments(
     arguments: list[str], found: str | None
 ) -> None:
-    assert find_listen(arguments) == found
+    assert find_listen_address(arguments) == found
 
 
 def test_a_caller_can_connect_before_the_host_accepts() -> None:
--- a/tests/node/test_platform_faults.py
+++ b/tests/node/test_platform_faults.py
@@ -21,7 +21,7 @@
 from rudderpass.node._follower import host_list_interval
 from rudderpass.node._snapshots import SnapshotWriter
 from rudderpass.publishing import replay_page
-from tests.builders import ZONE, make_catalog, make_state
+from tests.builders import ZONE, make_catalog, make_config_state
 
 A, B = NodeId("10.0.0.1:7000"), NodeId("10.0.0.2:7000")
 
@@ -43,7 +43,7 @@
 
 def test_a_node_without_configuration_gets_it_from_a_peer() -> None:
     cores = {A: make_core(A), B: make_core(B)}
-    cores[A].apply_config(make_state(make_catalog()), "log", 0.0)
+    cores[A].apply_config(make_config_state(make_catalog()), "log", 0.0)
     assert not cores[B].is_ready
     deliver_messages(cores, A, [*cores[A].tick(1.0)])
     assert cores[B].is_ready
@@ -60,7 +60,7 @@
 
 def test_an_older_configuration_is_never_applied() -> None:
     core = make_core(A)
-    old = make_state(make_catalog())
+    old = make_config_state(make_catalog())
     change = build_change(old, make_catalog(extra={}), "ada")
     assert change is not None
     new, _ = apply_record(old, 1, dump_record(change))
@@ -71,7 +71,7 @@
 
 def test_a_peer_with_an_older_configuration_is_not_asked() -> None:
     cores = {A: make_core(A), B: make_core(B)}
-    cores[A].apply_config(make_state(make_catalog()), "log", 0.0)
+    cores[A].apply_config(make_config_state(make_catalog()), "log", 0.0)
     deliver_messages(cores, B, [*cores[B].tick(1.0)])
     assert cores[A].config.version == 1
 
@@ -90,7 +90,7 @@
     age: float, is_writer: bool, written: bool
 ) -> None:
     service = MemoryLog()
-    state = make_state(make_catalog())
+    state = make_config_state(make_catalog())
     writer = SnapshotWriter(service, 100, lambda: state, lambda: 0.0, lambda: is_writer)
     assert writer.write_if_due(age) is written
     assert len(service.records) == written
--- a/tests/pools/test_entry.py
+++ b/tests/pools/test_entry.py
@@ -18,7 +18,7 @@
     Shed,
 )
 from rudderpass.routing import GrantOutcome, Usage
-from tests.builders import POOL, ZONE, make_work
+from tests.builders import POOL, ZONE, make_reservation
 
 OWNER, NEW_OWNER = NodeId("10.0.0.1:7000"), NodeId("10.0.0.2:7000")
 U1 = UpstreamId("u1")
@@ -27,7 +27,7 @@
 
 def make_entry() -> EntryReservations:
     entry = EntryReservations(ZONE)
-    entry.submit(make_work(0), OWNER, 0.0)
+    entry.submit(make_reservation(0), OWNER, 0.0)
     return entry
 
 
@@ -85,7 +85,7 @@
 
 def test_a_new_owner_receives_all_reservations_and_grants() -> None:
     entry = make_entry()
-    entry.submit(make_work(1), OWNER, 0.0)
+    entry.submit(make_reservation(1), OWNER, 0.0)
     entry.receive_grant(OWNER, make_grant())
     sent = [
         item.message
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -14,7 +14,7 @@
     Usage,
     choose_upstream,
 )
-from tests.builders import ZONE, make_work
+from tests.builders import ZONE, make_reservation
 
 NOW = 1000.0
 
@@ -30,7 +30,7 @@
 
 def choose(*pool: UpstreamSlots, **changes: Any) -> str | None:
     values = {"arrived": NOW, "upstreams": (), "expected_tokens": 50.0, **changes}
-    return choose_upstream(make_work(0, **values), pool, NOW).chosen
+    return choose_upstream(make_reservation(0, **values), pool, NOW).chosen
 
 
 def test_the_faster_upstream_is_chosen() -> None:
@@ -59,7 +59,7 @@
 def test_the_reason_for_ruling_out_an_upstream(
     changes: dict[str, Any], reason: str
 ) -> None:
-    work = make_work(0, arrived=NOW, upstreams=())
+    work = make_reservation(0, arrived=NOW, upstreams=())
     choice = choose_upstream(work, [make_slots("a", **changes)], NOW)
     assert choice.chosen is None
     assert [out.reason for out in choice.ruled_out] == [reason]
@@ -77,7 +77,7 @@
     failing = make_slots("a")
     for _ in range(2):
         failing.health.record_usage(Usage(GrantOutcome.FAILED), ZONE, NOW)
-    work = make_work(0, arrived=NOW, upstreams=())
+    work = make_reservation(0, arrived=NOW, upstreams=())
     assert choose_upstream(work, [failing], NOW + 0.1).chosen is None
     assert choose_upstream(work, [failing], NOW + 3).chosen == "a"
     failing.running = 1
@@ -90,7 +90,7 @@
 
 def test_lengths_are_learned_and_corrected_while_a_stream_runs() -> None:
     lengths = LengthEstimator()
-    name = make_work(0).service_class
+    name = make_reservation(0).service_class
     before = lengths.expect(name, "r")
     for tokens in [10] * 50 + [500] * 50:
         lengths.record(name, "r", tokens)
