--- a/src/rudderpass/quarantine/__init__.py
+++ b/src/rudderpass/quarantine/__init__.py
@@ -11,7 +11,6 @@
     count_causes as count_causes,
     find_culprits as find_culprits,
 )
-from rudderpass.quarantine._book import QuarantineBook as QuarantineBook
 from rudderpass.quarantine._cuts import CutSend as CutSend
 from rudderpass.quarantine._records import (
     Crash as Crash,
@@ -21,3 +20,4 @@
     VerdictKind as VerdictKind,
 )
 from rudderpass.quarantine._suspect import MAX_CRASHES as MAX_CRASHES
+from rudderpass.quarantine._tracker import QuarantineBook as QuarantineBook
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -11,13 +11,6 @@
 from rudderpass._ids import Fingerprint, TeamId, UpstreamId
 from rudderpass.quarantine import CutSend, QuarantineBook, SuspectNews, VerdictKind
 from rudderpass.quarantine._answered import MAX_ANSWERED_EACH_TEAM
-from rudderpass.quarantine._book import (
-    MAX_SUSPECTS_EACH_TEAM,
-    MAX_TOLD,
-    RETELL_SECONDS,
-    SUSPECT_SECONDS,
-    TELLS,
-)
 from rudderpass.quarantine._cuts import CONFIRM_SECONDS
 from rudderpass.quarantine._suspect import (
     DOUBTFUL_QUARANTINE_SECONDS,
@@ -26,6 +19,13 @@
     TRIAL_SECONDS,
     VOUCHED_SECONDS,
 )
+from rudderpass.quarantine._tracker import (
+    MAX_SUSPECTS_EACH_TEAM,
+    MAX_TOLD,
+    RETELL_SECONDS,
+    SUSPECT_SECONDS,
+    TELLS,
+)
 from tests.quarantine.builders import (
     BAD,
     GOOD,
