--- a/src/rudderpass/quarantine/__init__.py
+++ b/src/rudderpass/quarantine/__init__.py
@@ -6,7 +6,7 @@
 order they came.
 """
 
-from rudderpass.quarantine._blame import (
+from rudderpass.quarantine._attribution import (
     PROVING_CRASHES as PROVING_CRASHES,
     count_causes as count_causes,
     find_culprits as find_culprits,
--- a/src/rudderpass/quarantine/_suspect.py
+++ b/src/rudderpass/quarantine/_suspect.py
@@ -6,7 +6,11 @@
 from dataclasses import dataclass, field
 
 from rudderpass._ids import TeamId, UpstreamId
-from rudderpass.quarantine._blame import PROVING_CRASHES, count_causes, needed_crashes
+from rudderpass.quarantine._attribution import (
+    PROVING_CRASHES,
+    count_causes,
+    needed_crashes,
+)
 from rudderpass.quarantine._records import Crash
 
 QUARANTINE_SECONDS = 120.0
--- a/src/rudderpass/quarantine/_tracker.py
+++ b/src/rudderpass/quarantine/_tracker.py
@@ -8,7 +8,7 @@
 
 from rudderpass._ids import Fingerprint, TeamId, UpstreamId
 from rudderpass.quarantine._answered import AnsweredRequests
-from rudderpass.quarantine._blame import (
+from rudderpass.quarantine._attribution import (
     count_causes,
     drop_later_sends,
     exclude,
