--- a/src/rudderpass/quarantine/_tracker.py
+++ b/src/rudderpass/quarantine/_tracker.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import Fingerprint, TeamId, UpstreamId
-from rudderpass.quarantine._answered import AnsweredRequests
 from rudderpass.quarantine._attribution import (
     count_causes,
     drop_later_sends,
     exclude,
     find_culprits,
 )
+from rudderpass.quarantine._completed import AnsweredRequests
 from rudderpass.quarantine._cuts import CutSend, CutSends
 from rudderpass.quarantine._records import (
     FREE,
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -10,7 +10,7 @@
 
 from rudderpass._ids import Fingerprint, TeamId, UpstreamId
 from rudderpass.quarantine import CutSend, QuarantineBook, SuspectNews, VerdictKind
-from rudderpass.quarantine._answered import MAX_ANSWERED_EACH_TEAM
+from rudderpass.quarantine._completed import MAX_ANSWERED_EACH_TEAM
 from rudderpass.quarantine._cuts import CONFIRM_SECONDS
 from rudderpass.quarantine._suspect import (
     DOUBTFUL_QUARANTINE_SECONDS,
