--- a/src/rudderpass/duties/__init__.py
+++ b/src/rudderpass/duties/__init__.py
@@ -1,7 +1,6 @@
 """Duties that one host at a time has: usage reports, and orders for upstreams."""
 
-from rudderpass.duties._holding import Holding as Holding, HoldingRule as HoldingRule
-from rudderpass.duties._keeper import (
+from rudderpass.duties._coordinator import (
     Action as Action,
     DutyKeeper as DutyKeeper,
     ReadLog as ReadLog,
@@ -11,6 +10,7 @@
     WriteClaim as WriteClaim,
     WriteUsage as WriteUsage,
 )
+from rudderpass.duties._holding import Holding as Holding, HoldingRule as HoldingRule
 from rudderpass.duties._messages import (
     UNREADABLE_USAGE as UNREADABLE_USAGE,
     CallResult as CallResult,
