--- a/src/rudderpass/duties/__init__.py
+++ b/src/rudderpass/duties/__init__.py
@@ -10,7 +10,7 @@
     WriteClaim as WriteClaim,
     WriteUsage as WriteUsage,
 )
-from rudderpass.duties._holding import Holding as Holding, HoldingRule as HoldingRule
+from rudderpass.duties._election import Holding as Holding, HoldingRule as HoldingRule
 from rudderpass.duties._messages import (
     UNREADABLE_USAGE as UNREADABLE_USAGE,
     CallResult as CallResult,
--- a/src/rudderpass/duties/_coordinator.py
+++ b/src/rudderpass/duties/_coordinator.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import FencingToken, NodeId
-from rudderpass.duties._holding import Holding
+from rudderpass.duties._election import Holding
 from rudderpass.duties._messages import (
     CallResult,
     DutyHolder,
