--- a/tests/duties/test_coordinator.py
+++ b/tests/duties/test_coordinator.py
@@ -8,7 +8,7 @@
 
 from rudderpass._ids import FencingToken, NodeId
 from rudderpass.duties import DutyNews, ReadLog, ScaleSubject, Surroundings, WriteClaim
-from tests.duties.world import (
+from tests.duties.simulation import (
     EPOCH,
     LATE,
     RULE,
--- a/tests/duties/test_random.py
+++ b/tests/duties/test_random.py
@@ -11,7 +11,7 @@
 from hypothesis import given, strategies as st
 
 from rudderpass.duties import DutyLog, Holding, UsageReports, WindowUsage
-from tests.duties.world import TEAM, DutyWorld, HostStand
+from tests.duties.simulation import TEAM, DutyWorld, HostStand
 from tests.fuzz import make_settings
 
 FAULTS: dict[str, Callable[[DutyWorld, HostStand, float], None]] = {
