--- a/src/rudderpass/duties/__init__.py
+++ b/src/rudderpass/duties/__init__.py
@@ -1,29 +1,32 @@
-"""Duties that one host at a time has: usage reports, and orders for upstreams."""
+"""Tasks that one host at a time performs: usage reports, and orders for upstreams."""
 
 from rudderpass.duties._coordinator import (
     Action as Action,
-    DutyKeeper as DutyKeeper,
+    ClusterView as ClusterView,
+    DutyCoordinator as DutyCoordinator,
     ReadLog as ReadLog,
     SendOrder as SendOrder,
     SendReport as SendReport,
-    Surroundings as Surroundings,
     WriteClaim as WriteClaim,
     WriteUsage as WriteUsage,
 )
-from rudderpass.duties._election import Holding as Holding, HoldingRule as HoldingRule
+from rudderpass.duties._election import (
+    HolderElection as HolderElection,
+    LeasePolicy as LeasePolicy,
+)
 from rudderpass.duties._messages import (
     UNREADABLE_USAGE as UNREADABLE_USAGE,
     CallResult as CallResult,
     DutyHolder as DutyHolder,
     DutyLog as DutyLog,
-    DutyNews as DutyNews,
+    DutyStatus as DutyStatus,
     HostUsage as HostUsage,
-    ScaleSubject as ScaleSubject,
+    ScalingGroup as ScalingGroup,
     SettledUsage as SettledUsage,
     WindowUsage as WindowUsage,
 )
 from rudderpass.duties._reports import (
-    ReportRule as ReportRule,
+    ReportPolicy as ReportPolicy,
     UsageReports as UsageReports,
 )
 from rudderpass.duties._scaling import (
@@ -32,7 +35,7 @@
     plan_upstreams as plan_upstreams,
 )
 from rudderpass.duties._usage import (
-    UsageBook as UsageBook,
     UsageCounter as UsageCounter,
+    UsageTracker as UsageTracker,
 )
 from rudderpass.duties._windows import WindowClock as WindowClock
--- a/src/rudderpass/duties/_coordinator.py
+++ b/src/rudderpass/duties/_coordinator.py
@@ -1,7 +1,7 @@
-"""What the holder of the duties does next, one call at a time.
+"""Decides the next call of the holder of the duties, one at a time.
 
-Decisions alone: whoever drives the keeper makes the calls and tells how they ended, so
-that all orders of failures can be played without a network.
+This module makes no calls: the caller makes them and reports the results, so that any
+sequence of failures can be simulated without a network.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import FencingToken, NodeId
-from rudderpass.duties._election import Holding
+from rudderpass.duties._election import HolderElection
 from rudderpass.duties._messages import (
     CallResult,
     DutyHolder,
     DutyLog,
-    DutyNews,
-    ScaleSubject,
+    DutyStatus,
+    ScalingGroup,
     SettledUsage,
     WindowUsage,
 )
@@ -24,7 +24,7 @@
 from rudderpass.duties._scaling import ScaleOrders
 
 LOG_RETRY_SECONDS = 0.4
-"""Between two calls of a store that did not answer."""
+"""Delay before the next call of a store that did not respond."""
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
 class WriteClaim:
     """Append a claim, if the log still ends at ``end``.
 
-    :param usage: what the log holds of it; still true if the claim goes in.
+    :param usage: the settled usage in the log; still current if the claim is written.
     """
 
     end: int
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True)
 class SendOrder:
-    """Order a number of upstreams."""
+    """Order a number of upstreams in a group."""
 
     token: FencingToken
-    subject: ScaleSubject
+    group: ScalingGroup
     count: int
 
 
@@ -73,25 +73,25 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class ClusterView:
     """What the host knows of itself and its peers.
 
-    :param hosts: those that are alive, this one included.
-    :param last_heard: when any peer was heard last; None where there is none.
-    :param place: how many candidates for the duties come before this host; None where
-        it is no candidate.
+    :param hosts: those that are alive, including this one.
+    :param last_heard: when any peer was last heard from; None without peers.
+    :param rank: how many candidates for the duties are ranked before this host; None if
+        it is not a candidate.
     """
 
     hosts: Collection[NodeId]
     last_heard: float | None
-    place: int | None
+    rank: int | None
 
 
-class DutyKeeper:
-    """One host's part in the duties.
+class DutyCoordinator:
+    """Runs one host's part in the duties.
 
-    :param own: this start of this host.
-    :param orders: None where upstreams are not ordered.
+    :param own: this instance of this host.
+    :param orders: None if upstreams are not ordered.
 
     Not thread-safe: the host's lock guards it.
 
@@ -101,118 +101,123 @@
     def __init__(
         self,
         own: DutyHolder,
-        holding: Holding,
+        election: HolderElection,
         reports: UsageReports | None,
         orders: ScaleOrders | None,
     ) -> None:
         self._own = own
-        self._holding = holding
+        self._election = election
         self._reports = reports
         self._orders = orders
         self._log: DutyLog | None = None
         self._may_claim = False
-        self._token_is_spent = False
-        self._not_before = float("-inf")
+        self._needs_new_token = False
+        self._next_attempt_at = float("-inf")
 
     @property
     def token(self) -> FencingToken | None:
         """The token with which this host holds the duties; None if it does not."""
-        return self._holding.token
+        return self._election.token
 
     @property
-    def news(self) -> DutyNews:
-        """What peers are told."""
+    def status(self) -> DutyStatus:
+        """The status that is sent to peers."""
         settled = 0 if self._reports is None else self._reports.settled_before
         holds = self.token is not None
-        return DutyNews(self._holding.known_token, holds, settled if holds else 0)
+        return DutyStatus(self._election.known_token, holds, settled if holds else 0)
 
-    def hear(self, news: DutyNews, is_stopping: bool, now: float) -> None:
-        """Take what a peer tells."""
-        self._holding.hear(news, is_stopping, now)
+    def receive(self, status: DutyStatus, is_stopping: bool, now: float) -> None:
+        """Apply a peer's status."""
+        self._election.receive(status, is_stopping, now)
 
-    def look(self, around: Surroundings, now: float) -> None:
-        """Note the passing of time, several times a second."""
-        self._holding.look(around.last_heard, now)
+    def tick(self, view: ClusterView, now: float) -> None:
+        """Update time-based state; call it several times a second."""
+        self._election.tick(view.last_heard, now)
 
-    def next_action(self, around: Surroundings, now: float) -> Action | None:
-        """Return the call that is to be made now, if any is."""
-        if now < self._not_before:
+    def next_action(self, view: ClusterView, now: float) -> Action | None:
+        """Return the call that is due, if any."""
+        if now < self._next_attempt_at:
             return None
         if self.token is None:
-            return self._next_claim(around, now)
-        if self._log is None or self._holding.needs_check:
+            return self._next_claim(view, now)
+        if self._log is None or self._election.needs_check:
             return ReadLog()
-        if self._token_is_spent:
+        if self._needs_new_token:
             return WriteClaim(self._log.end, self._own, self._log.usage)
-        if not self._holding.may_act(now):
+        if not self._election.may_act(now):
             return None
-        return self._next_duty(self.token, self._log.end, around, now)
+        return self._next_duty(self.token, self._log.end, view, now)
 
-    def note_log(self, log: DutyLog, now: float) -> None:
-        """Take what was read of the log."""
-        had_token = self.token
-        self._may_claim = self._holding.take_log(log, now)
-        is_current = log.token == self._holding.known_token
+    def record_log(self, log: DutyLog, now: float) -> None:
+        """Apply what was read from the log."""
+        previous_token = self.token
+        self._may_claim = self._election.apply_log(log, now)
+        is_current = log.token == self._election.known_token
         self._log = log if is_current else None
         if not is_current:
-            self._not_before = now + LOG_RETRY_SECONDS
+            self._next_attempt_at = now + LOG_RETRY_SECONDS
         elif self.token is not None:
-            self._begin(log, had_token, now)
+            self._resume(log, previous_token, now)
 
-    def note_claimed(self, claim: WriteClaim, now: float) -> None:
-        """Take note that a claim stands in the log; its place makes the token."""
-        had_token = self.token
+    def record_claim(self, claim: WriteClaim, now: float) -> None:
+        """Record that a claim was written to the log; its offset gives the token."""
+        previous_token = self.token
         token = FencingToken(claim.end + 1)
         log = DutyLog(claim.end + 1, claim.holder, token, claim.usage)
-        if not self._holding.note_claimed(token, now):
+        if not self._election.record_claim(token, now):
             return
         self._log = log
-        self._begin(log, had_token, now)
+        self._resume(log, previous_token, now)
 
-    def note_usage_written(self, written: WriteUsage) -> None:
-        """Take note that settled usage stands in the log."""
+    def record_usage_written(self, written: WriteUsage) -> None:
+        """Record that settled usage was written to the log."""
         log = self._log
         if log is None or self._reports is None:
             return  # The duties were lost while it was written.
         self._log = DutyLog(written.end + 1, log.holder, log.token, written.usage)
-        self._reports.note_settled(written.usage)
+        self._reports.record_settled(written.usage)
 
-    def note_log_failed(self, is_passed: bool, now: float) -> None:
-        """Take note that the log was not read or written, or that nobody knows.
+    def record_log_failure(self, is_conflict: bool, now: float) -> None:
+        """Record that a read or write of the log failed, or that its result is unknown.
 
-        :param is_passed: whether somebody else has written to it.
+        :param is_conflict: whether another host has written to the log.
         """
         self._log = None
         self._may_claim = False
-        if not is_passed:
-            self._not_before = now + LOG_RETRY_SECONDS
+        if not is_conflict:
+            self._next_attempt_at = now + LOG_RETRY_SECONDS
 
-    def note_report(self, sent: SendReport, result: CallResult, now: float) -> None:
-        """Take note of how a usage report ended."""
+    def record_report_result(
+        self, sent: SendReport, result: CallResult, now: float
+    ) -> None:
+        """Record the result of a usage report."""
         assert self._reports is not None
-        self._reports.note_sent(sent.usage, result, now)
+        self._reports.record_result(sent.usage, result, now)
         if result is CallResult.CONFLICT and self.token == sent.token:
-            self._holding.lose(now)
+            self._election.lose(now)
             self._log = None
 
-    def note_order(self, sent: SendOrder, result: CallResult, now: float) -> None:
-        """Take note of how an order ended.
+    def record_order_result(
+        self, sent: SendOrder, result: CallResult, now: float
+    ) -> None:
+        """Record the result of an order.
 
-        One that got no answer may be carried out after newer ones. With a fresh token
-        for these it is refused instead. A conflict says either that there are none to
-        be had or that another host holds the duties; the log tells which.
+        An order without a response may be carried out after newer ones. Using a new
+        token for these makes the platform refuse it. A conflict means either that no
+        upstreams are available or that another host holds the duties; the log shows
+        which.
         """
         assert self._orders is not None
-        self._orders.note_sent(sent.subject, sent.count, result, now)
+        self._orders.record_result(sent.group, sent.count, result, now)
         if self.token != sent.token:
             return
         if result is CallResult.UNKNOWN:
-            self._token_is_spent = True
+            self._needs_new_token = True
         elif result is CallResult.CONFLICT:
-            self._holding.doubt()
+            self._election.mark_stale()
 
-    def _next_claim(self, around: Surroundings, now: float) -> Action | None:
-        if around.place is None or not self._holding.is_due(around.place, now):
+    def _next_claim(self, view: ClusterView, now: float) -> Action | None:
+        if view.rank is None or not self._election.should_claim(view.rank, now):
             self._log, self._may_claim = None, False
             return None
         if self._may_claim and self._log is not None:
@@ -220,10 +225,10 @@
         return ReadLog()
 
     def _next_duty(
-        self, token: FencingToken, end: int, around: Surroundings, now: float
+        self, token: FencingToken, end: int, view: ClusterView, now: float
     ) -> Action | None:
         if self._reports is not None:
-            settled = self._reports.find_settlement(around.hosts, now)
+            settled = self._reports.find_settlement(view.hosts, now)
             if settled is not None:
                 return WriteUsage(end, settled)
             report = self._reports.find_report(now)
@@ -232,12 +237,16 @@
         order = None if self._orders is None else self._orders.find_order(now)
         return None if order is None else SendOrder(token, *order)
 
-    def _begin(self, log: DutyLog, had_token: FencingToken | None, now: float) -> None:
-        """Go on from the log as its holder."""
+    def _resume(
+        self, log: DutyLog, previous_token: FencingToken | None, now: float
+    ) -> None:
+        """Resume the duties as the holder, from the contents of the log."""
         self._may_claim = False
-        if self.token != had_token:
-            self._token_is_spent = False
-        if self._reports is not None and (had_token is None or log.usage is not None):
+        if self.token != previous_token:
+            self._needs_new_token = False
+        if self._reports is not None and (
+            previous_token is None or log.usage is not None
+        ):
             self._reports.begin(log.usage, now)
-        if self._orders is not None and had_token is None:
+        if self._orders is not None and previous_token is None:
             self._orders.begin()
--- a/src/rudderpass/duties/_election.py
+++ b/src/rudderpass/duties/_election.py
@@ -1,10 +1,10 @@
-"""Who holds the duties that one host at a time has.
+"""Election of the holder: the one host at a time that performs the duties.
 
-A host claims them by a record in the platform's log, written only if nothing was
-written since it read the log. The record's place is the fencing token: it rises with
-each claim, and no two claims share one, whoever is killed or whatever is dropped from
-the log. The holder is kept by what hosts hear of one another, so that the log is called
-only at a change.
+A host claims the duties by appending a record to the platform's log, on condition that
+nothing was appended since it read the log. The offset of the record determines the
+fencing token, which increases with each claim and is never reused, even if hosts are
+killed or records are removed from the log. Heartbeats between hosts keep the holder in
+place, so that the log is called only when the holder changes.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import FencingToken
-from rudderpass.duties._messages import DutyHolder, DutyLog, DutyNews
+from rudderpass.duties._messages import DutyHolder, DutyLog, DutyStatus
 
 TAKEOVER_SECONDS = 1.6
-"""A holder that was not heard for so long is replaced: it beats twice a second, and the
-next one is to act within three seconds."""
+"""A holder that was silent for this long is replaced. It sends two heartbeats a second,
+and the next holder must act within three seconds."""
 
 STAGGER_SECONDS = 0.3
-"""The next candidate waits so much longer for the one before it."""
+"""Extra time that each candidate waits for the one ranked before it."""
 
-STANDSTILL_SECONDS = 0.8
-"""A holder that did nothing for so long may have been replaced meanwhile."""
+MAX_TICK_GAP_SECONDS = 0.8
+"""A holder that was suspended for this long may have been replaced meanwhile."""
 
-ALONE_SECONDS = 1.2
-"""A holder that has heard no peer for so long may have been replaced."""
+ISOLATION_SECONDS = 1.2
+"""A holder that has heard from no peer for this long may have been replaced."""
 
 
 @dataclass(frozen=True)
-class HoldingRule:
-    """What the platform asks for. Times are seconds.
+class LeasePolicy:
+    """Requirements of the platform. Times are in seconds.
 
-    :param lease: within which a host that lost the duties does not hold them again.
-    :param thaw_slack: by which a holder that stood still may act too late.
+    :param lease: for which a host that lost the duties must not hold them again.
+    :param thaw_slack: how long after the lease a resumed holder may still make calls.
     :param is_fenced: whether the platform refuses calls with a lower token.
     """
 
@@ -42,27 +42,27 @@
     is_fenced: bool
 
 
-class Holding:
+class HolderElection:
     """One host's view of who holds the duties.
 
-    :param own: this start of this host.
+    :param own: this instance of this host.
     :param now: when it started.
 
     Not thread-safe: the host's lock guards it.
     """
 
-    def __init__(self, own: DutyHolder, rule: HoldingRule, now: float) -> None:
+    def __init__(self, own: DutyHolder, policy: LeasePolicy, now: float) -> None:
         self._own = own
-        self._rule = rule
+        self._policy = policy
         self._token: FencingToken | None = None
-        self._known = FencingToken(0)
-        self._heard = now
-        self._barred_until = now
-        self._acts_from = now
-        self._looked = now
-        self._confirmed = now
-        self._read_at = now
-        self._in_doubt = False
+        self._known_token = FencingToken(0)
+        self._holder_last_seen = now
+        self._ineligible_until = now
+        self._may_act_from = now
+        self._last_tick = now
+        self._last_confirmed = now
+        self._log_read_at = now
+        self._is_stale = False
 
     @property
     def token(self) -> FencingToken | None:
@@ -71,108 +71,108 @@
 
     @property
     def known_token(self) -> FencingToken:
-        """The newest token that this host knows of; 0 before the first."""
-        return self._known
+        """The newest token known to this host; 0 before the first."""
+        return self._known_token
 
-    def hear(self, news: DutyNews, is_stopping: bool, now: float) -> None:
-        """Take what a peer tells; a newer token ends this host's own holding.
+    def receive(self, status: DutyStatus, is_stopping: bool, now: float) -> None:
+        """Apply a peer's status; a newer token means that this host lost the duties.
 
-        :param is_stopping: whether the peer stops in order; then nobody waits for it.
+        :param is_stopping: whether the peer is shutting down and can be replaced now.
         """
-        if news.token < self._known:
+        if status.token < self._known_token:
             return
-        if news.token > self._known or news.holds:
-            self._heard = now
-        if news.holds and is_stopping:
-            self._heard = now - TAKEOVER_SECONDS
-        self._known = news.token
-        if self._token is not None and self._token < news.token:
+        if status.token > self._known_token or status.holds:
+            self._holder_last_seen = now
+        if status.holds and is_stopping:
+            self._holder_last_seen = now - TAKEOVER_SECONDS
+        self._known_token = status.token
+        if self._token is not None and self._token < status.token:
             self.lose(now)
 
-    def is_due(self, place: int, now: float) -> bool:
-        """Tell whether this host is to claim the duties.
+    def should_claim(self, rank: int, now: float) -> bool:
+        """Return whether this host should claim the duties.
 
-        :param place: how many candidates come before it.
+        :param rank: how many candidates are ranked before it.
         """
-        if self._token is not None or now < self._barred_until:
+        if self._token is not None or now < self._ineligible_until:
             return False
-        return now - self._heard >= TAKEOVER_SECONDS + place * STAGGER_SECONDS
+        return now - self._holder_last_seen >= TAKEOVER_SECONDS + rank * STAGGER_SECONDS
 
-    def take_log(self, log: DutyLog, now: float) -> bool:
-        """Take what the log holds; tell whether this host may claim the duties.
+    def apply_log(self, log: DutyLog, now: float) -> bool:
+        """Apply the contents of the log; return whether this host may claim the duties.
 
-        A claim that was not known yet is given the time to be heard.
+        The holder of a claim that was not known yet is given time to send heartbeats.
         """
-        if log.token < self._known:
-            return False  # An old copy of the log.
+        if log.token < self._known_token:
+            return False  # A stale copy of the log.
         if log.holder == self._own:
-            self._take_own(log.token, now)
+            self._apply_own_claim(log.token, now)
             return False
-        is_news = log.token > self._known
-        self._known = log.token
+        is_new = log.token > self._known_token
+        self._known_token = log.token
         if self._token is not None:
             self.lose(now)
             return False
         is_earlier_start = log.holder is not None and log.holder.host == self._own.host
-        if is_news and not is_earlier_start:
-            self._heard = now
+        if is_new and not is_earlier_start:
+            self._holder_last_seen = now
             return False
         return True
 
-    def note_claimed(self, token: FencingToken, now: float) -> bool:
-        """Take note that this host's claim stands in the log.
+    def record_claim(self, token: FencingToken, now: float) -> bool:
+        """Record that this host's claim is in the log.
 
-        Tell whether it still counts: a newer one may have been heard meanwhile.
+        Return whether it is still the newest: a newer one may have been received.
         """
-        if token < self._known:
+        if token < self._known_token:
             return False
-        self._take_own(token, now)
+        self._apply_own_claim(token, now)
         return True
 
     def lose(self, now: float) -> None:
-        """Take note that this host does not hold the duties any more."""
+        """Record that this host no longer holds the duties."""
         self._token = None
-        self._heard = now
-        self._barred_until = now + self._rule.lease + self._rule.thaw_slack
+        self._holder_last_seen = now
+        self._ineligible_until = now + self._policy.lease + self._policy.thaw_slack
 
-    def doubt(self) -> None:
-        """Have the log read before anything else is done as the holder."""
-        self._in_doubt = True
+    def mark_stale(self) -> None:
+        """Require that the log is read before this host acts as the holder again."""
+        self._is_stale = True
 
-    def look(self, last_heard: float | None, now: float) -> None:
-        """Note whether the holder is in touch; to be called several times a second.
+    def tick(self, last_heard: float | None, now: float) -> None:
+        """Check whether the holder is still connected; call it several times a second.
 
-        :param last_heard: when any peer was heard last; None where there is none.
+        :param last_heard: when any peer was last heard from; None without peers.
         """
-        stood_still = now - self._looked > STANDSTILL_SECONDS
-        # What the log said a moment ago is as good as a peer's word.
-        is_alone = (
+        was_suspended = now - self._last_tick > MAX_TICK_GAP_SECONDS
+        # A recent read of the log is as good as a heartbeat from a peer.
+        is_isolated = (
             last_heard is not None
-            and now - max(last_heard, self._read_at) > ALONE_SECONDS
+            and now - max(last_heard, self._log_read_at) > ISOLATION_SECONDS
         )
-        self._looked = now
-        if stood_still or is_alone:
-            self._in_doubt = True
-        if not self._in_doubt:
-            self._confirmed = now
-        if self._token is not None and now - self._confirmed > self._rule.lease:
+        self._last_tick = now
+        if was_suspended or is_isolated:
+            self._is_stale = True
+        if not self._is_stale:
+            self._last_confirmed = now
+        if self._token is not None and now - self._last_confirmed > self._policy.lease:
             self.lose(now)
 
     @property
     def needs_check(self) -> bool:
-        """Whether the log must be read before anything is done as the holder."""
-        return self._token is not None and self._in_doubt
+        """Whether the log must be read before this host acts as the holder."""
+        return self._token is not None and self._is_stale
 
     def may_act(self, now: float) -> bool:
-        """Tell whether this host may make calls with its token now."""
-        is_holder = self._token is not None and now >= self._acts_from
-        return is_holder and not self._in_doubt
+        """Return whether this host may make calls with its token now."""
+        is_holder = self._token is not None and now >= self._may_act_from
+        return is_holder and not self._is_stale
 
-    def _take_own(self, token: FencingToken, now: float) -> None:
+    def _apply_own_claim(self, token: FencingToken, now: float) -> None:
         is_first = self._token is None
-        self._token = self._known = token
-        self._confirmed = self._looked = self._read_at = now
-        self._in_doubt = False
-        if is_first and not self._rule.is_fenced:
-            # The one before must have stopped by itself, as nothing refuses its calls.
-            self._acts_from = now + self._rule.lease + self._rule.thaw_slack
+        self._token = self._known_token = token
+        self._last_confirmed = self._last_tick = self._log_read_at = now
+        self._is_stale = False
+        if is_first and not self._policy.is_fenced:
+            # Nothing refuses the calls of the previous holder, so wait until it stops.
+            self._may_act_from = now + self._policy.lease + self._policy.thaw_slack
--- a/src/rudderpass/duties/_messages.py
+++ b/src/rudderpass/duties/_messages.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties writes down, hears and calls for."""
+"""Records and messages of the holder of the duties."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CallResult(Enum):
-    """How a call to the platform ended."""
+    """The result of a call to the platform."""
 
     DONE = "done"
     CONFLICT = "refused, a higher token was seen or none are to be had"
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class WindowUsage:
-    """How many requests of each team began to run within one window.
+    """How many requests of each team started within one window.
 
-    :param window: its number; window 0 began with the year 1970.
+    :param window: its number; window 0 starts at the Unix epoch.
     """
 
     window: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class HostUsage:
-    """What one start of a host has counted.
+    """The counts of one instance of a host.
 
     :param start: when the host started, Unix milliseconds.
     :param closed_before: the windows before this one are complete.
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class SettledUsage:
-    """The windows whose counts will not change any more.
+    """The windows whose counts are final.
 
     :param next_window: all windows before this one are settled.
     :param windows: those whose reports may not have reached the platform.
@@ -55,12 +55,12 @@
 
 
 UNREADABLE_USAGE = SettledUsage(-1, ())
-"""Stands for settled usage that a host cannot read, such as a newer release's."""
+"""Placeholder for settled usage that cannot be decoded, such as a newer release's."""
 
 
 @dataclass(frozen=True)
 class DutyHolder:
-    """One start of a host that holds the duties."""
+    """The instance of a host that holds the duties."""
 
     host: NodeId
     start: str
@@ -68,9 +68,9 @@
 
 @dataclass(frozen=True)
 class DutyLog:
-    """What the log of the duties holds.
+    """The contents of the log of the duties.
 
-    :param end: where its next record will stand.
+    :param end: the offset of its next record.
     :param holder: who claimed the duties last.
     :param token: the fencing token of that claim; 0 before the first.
     """
@@ -82,10 +82,10 @@
 
 
 @dataclass(frozen=True)
-class ScaleSubject:
-    """What one number of upstreams is ordered for.
+class ScalingGroup:
+    """A group of upstreams that is scaled by one number.
 
-    :param is_spot: whether it counts the cheap ones that may be taken away.
+    :param is_spot: whether its upstreams are spot ones, which may be reclaimed.
     """
 
     service: PoolId
@@ -94,11 +94,11 @@
 
 
 @dataclass(frozen=True)
-class DutyNews:
-    """What a beat tells of the duties.
+class DutyStatus:
+    """The status of the duties in a heartbeat.
 
-    :param token: the newest that its sender knows.
-    :param holds: whether the sender holds the duties with it.
+    :param token: the newest token known to the sender.
+    :param holds: whether the sender holds the duties with that token.
     :param settled_before: usage of the windows before this one is settled.
     """
 
--- a/src/rudderpass/duties/_scaling.py
+++ b/src/rudderpass/duties/_scaling.py
@@ -1,11 +1,11 @@
-"""How many upstreams are wanted, and which orders say so to the platform.
-
-Answers loads that rise threefold within a second, last for seconds, and are over before
-an upstream that is ordered for them serves: whatever is to serve them must be there
-before. So the numbers follow the largest work of a long while, not that of the moment.
-Cheap upstreams that may be taken away at any time are preferred where two of them cost
-no more than one of the others, in all availability zones alike, since what takes them
-takes all of a zone.
+"""Autoscaling: computes the wanted number of upstreams and the orders for the platform.
+
+Load may rise threefold within a second, last for seconds, and end before an upstream
+ordered for it is ready, so capacity must be present in advance. The numbers therefore
+follow the peak load over a long window, not the current load. Spot upstreams, which the
+platform may reclaim at any time, are preferred if two of them cost no more than one
+on-demand upstream. They are spread evenly over the availability zones, because a
+reclaim takes all spot upstreams of a zone.
 """
 
 from __future__ import annotations
@@ -17,44 +17,45 @@
 
 from rudderpass._ids import AvailabilityZone, PoolId
 from rudderpass.directory import RegisteredUpstream, ScalingTraits
-from rudderpass.duties._messages import CallResult, ScaleSubject
+from rudderpass.duties._messages import CallResult, ScalingGroup
 
 RETRY_SECONDS = 1.0
-"""Between two tries of an order that was not carried out."""
+"""Interval between attempts of an order that was not carried out."""
 
-MISSING_SECONDS = 3.0
-"""Beyond the time to boot, until an order whose upstreams are not there is repeated."""
+BOOT_GRACE_SECONDS = 3.0
+"""Time beyond the boot time until an order with missing upstreams is repeated."""
 
-PEAK_SECONDS = 600.0
-"""How long the largest work counts: bursts come some minutes apart."""
+PEAK_WINDOW_SECONDS = 600.0
+"""Window of the peak load: bursts come some minutes apart."""
 
-PEAK_STEP_SECONDS = 10.0
-"""The largest work of each such span is remembered."""
+PEAK_BUCKET_SECONDS = 10.0
+"""Resolution of the peak load: the maximum of each bucket is kept."""
 
-BUSY_SHARE = 0.3
-"""Share of the upstreams' time that the largest work is to take: engines that are
-busier hold up one another's streams, and a burst of three times the usual fits."""
+TARGET_UTILIZATION = 0.3
+"""Target utilization of the upstreams at peak load. On busier engines, streams delay
+one another; this target also leaves room for a burst of three times the normal load."""
 
-CHEAP_SHARE = 0.5
-"""Upstreams that may be taken away are preferred up to this share of the price: with
-two zones, twice as many are had, so that one zone's may go."""
+MAX_SPOT_PRICE_SHARE = 0.5
+"""Spot upstreams are preferred up to this share of the on-demand price: with two zones,
+twice as many are kept, so that the loss of one zone can be absorbed."""
 
-STEADY_SECONDS = 1.0
-PATIENCE_SECONDS = 4.0
-"""A new holder orders once the list of upstreams has not changed for the first, or
-after the second: upstreams that start with the deployment register one by one."""
+STABLE_SECONDS = 1.0
+MAX_STABILIZATION_SECONDS = 4.0
+"""A new holder starts ordering when the list of upstreams has not changed for the first
+duration, or after the second in any case: upstreams that start with the deployment
+register one by one."""
 
-FULL_SHARE = 0.1
-"""Share of the upstreams of a full zone that may be missing while cheap ones replace
-others: some must go before the next can come."""
+MAX_MISSING_SHARE = 0.1
+"""Share of the upstreams of a full zone that may be missing while spot upstreams
+replace on-demand ones: some must be released before others can start."""
 
 
 @dataclass(frozen=True)
 class ScaledService:
-    """A service whose upstreams can be ordered, and what is known of it.
+    """A service whose upstreams can be ordered, and its current state.
 
-    :param upstreams: all that are believed to be there, leaving ones included.
-    :param busy: how many upstreams the work under way would keep busy all the time.
+    :param upstreams: all that are assumed to be present, including leaving ones.
+    :param busy: how many fully busy upstreams the requests in flight amount to.
     """
 
     service: PoolId
@@ -64,95 +65,97 @@
 
 
 @dataclass
-class PeakWork:
-    """The largest work of a service in the last PEAK_SECONDS.
+class PeakLoad:
+    """The peak load of a service in the last PEAK_WINDOW_SECONDS.
 
-    :ivar since: when it was looked at first.
+    :ivar since: when recording began.
     """
 
     since: float
-    _spans: dict[int, float] = field(default_factory=dict)
+    _buckets: dict[int, float] = field(default_factory=dict)
 
-    def note(self, busy: float, now: float) -> None:
-        """Take the work of the moment."""
-        span = int(now // PEAK_STEP_SECONDS)
-        self._spans[span] = max(busy, self._spans.get(span, 0.0))
-        oldest = int((now - PEAK_SECONDS) // PEAK_STEP_SECONDS)
-        for old in [known for known in self._spans if known < oldest]:
-            del self._spans[old]
+    def record(self, busy: float, now: float) -> None:
+        """Record the current load."""
+        bucket = int(now // PEAK_BUCKET_SECONDS)
+        self._buckets[bucket] = max(busy, self._buckets.get(bucket, 0.0))
+        oldest = int((now - PEAK_WINDOW_SECONDS) // PEAK_BUCKET_SECONDS)
+        for old in [known for known in self._buckets if known < oldest]:
+            del self._buckets[old]
 
     @property
     def busy(self) -> float:
-        """How many upstreams the largest work would keep busy."""
-        return max(self._spans.values(), default=0.0)
+        """How many upstreams the peak load would keep fully busy."""
+        return max(self._buckets.values(), default=0.0)
 
     def is_known(self, now: float) -> bool:
-        """Tell whether it was looked at for long enough to give upstreams back."""
-        return now - self.since >= PEAK_SECONDS
+        """Return whether the load was recorded for long enough to release upstreams."""
+        return now - self.since >= PEAK_WINDOW_SECONDS
 
 
 def plan_upstreams(
     scaled: ScaledService,
-    peak: PeakWork,
-    held: Mapping[ScaleSubject, int],
+    peak: PeakLoad,
+    max_present: Mapping[ScalingGroup, int],
     now: float,
-) -> dict[ScaleSubject, int]:
-    """Return the next numbers on the way to the wanted ones.
+) -> dict[ScalingGroup, int]:
+    """Return the numbers to order next on the way to the wanted ones.
 
-    While the largest work is not known, none are given back, and cheap upstreams are
-    had as far as the bounds allow.
+    While the peak load is not known, none are released, and spot upstreams are ordered
+    up to the upper bound.
 
-    :param held: the most upstreams of each kind that were seen.
+    :param max_present: the largest number of upstreams observed in each group.
     """
     traits = scaled.traits
     zones = sorted(traits.zone_prices) or sorted({e.zone for e in scaled.upstreams})
-    is_cheap = traits.spot_price is not None and traits.spot_price <= CHEAP_SHARE
-    needed = peak.busy / BUSY_SHARE
-    if is_cheap and len(zones) > 1:
-        needed *= len(zones) / (len(zones) - 1)  # One zone's may all be gone.
-    each = math.ceil(needed / max(1, len(zones)))
-    wanted: dict[ScaleSubject, int] = {}
+    prefers_spot = (
+        traits.spot_price is not None and traits.spot_price <= MAX_SPOT_PRICE_SHARE
+    )
+    needed = peak.busy / TARGET_UTILIZATION
+    if prefers_spot and len(zones) > 1:
+        needed *= len(zones) / (len(zones) - 1)  # All of one zone may be lost.
+    per_zone = math.ceil(needed / max(1, len(zones)))
+    wanted: dict[ScalingGroup, int] = {}
     for zone in zones:
-        here = [e for e in scaled.upstreams if e.zone == zone and not e.leaving]
+        present = [e for e in scaled.upstreams if e.zone == zone and not e.leaving]
         least = max(1, traits.least)
         if not peak.is_known(now):
-            least = traits.most if is_cheap else max(least, len(here))
-        total = min(traits.most, max(least, each))
-        if is_cheap:
-            wanted |= _plan_swap(scaled, zone, here, total, held)
+            least = traits.most if prefers_spot else max(least, len(present))
+        total = min(traits.most, max(least, per_zone))
+        if prefers_spot:
+            wanted |= _plan_spot_replacement(scaled, zone, present, total, max_present)
         else:
-            wanted[ScaleSubject(scaled.service, zone, False)] = total
+            wanted[ScalingGroup(scaled.service, zone, False)] = total
     return wanted
 
 
-def _plan_swap(
+def _plan_spot_replacement(
     scaled: ScaledService,
     zone: AvailabilityZone,
-    here: Sequence[RegisteredUpstream],
+    present: Sequence[RegisteredUpstream],
     total: int,
-    held: Mapping[ScaleSubject, int],
-) -> dict[ScaleSubject, int]:
-    """Return the next numbers of a zone whose upstreams cheap ones are to replace.
+    max_present: Mapping[ScalingGroup, int],
+) -> dict[ScalingGroup, int]:
+    """Return the next numbers of a zone where spot replaces on-demand upstreams.
 
-    One stays that nothing takes away. Each other one is given back when a cheap one
-    serves in its place.
+    One on-demand upstream stays, as it can't be reclaimed. Each other one is released
+    once a spot upstream serves in its place.
     """
-    usual_subject = ScaleSubject(scaled.service, zone, False)
-    spot_here = sum(entry.is_spot for entry in here)
-    usual_here = len(here) - spot_here
-    needed = min(total, held.get(usual_subject, 0)) - spot_here
-    if len(here) >= scaled.traits.most:
-        needed = min(needed, usual_here - math.ceil(FULL_SHARE * total))
-    usual = max(1, min(usual_here, needed))
-    room = scaled.traits.most - max(usual, usual_here)
-    spot_subject = ScaleSubject(scaled.service, zone, True)
-    return {usual_subject: usual, spot_subject: max(0, min(total - 1, room))}
-
-
-def find_price(traits: ScalingTraits, subject: ScaleSubject) -> float:
-    """Return what a second of one upstream costs."""
-    share = traits.spot_price if subject.is_spot else None
-    price = traits.zone_prices.get(subject.zone, 1.0)
+    on_demand_group = ScalingGroup(scaled.service, zone, False)
+    spot_present = sum(entry.is_spot for entry in present)
+    on_demand_present = len(present) - spot_present
+    needed = min(total, max_present.get(on_demand_group, 0)) - spot_present
+    if len(present) >= scaled.traits.most:
+        needed = min(needed, on_demand_present - math.ceil(MAX_MISSING_SHARE * total))
+    on_demand = max(1, min(on_demand_present, needed))
+    room = scaled.traits.most - max(on_demand, on_demand_present)
+    spot_group = ScalingGroup(scaled.service, zone, True)
+    return {on_demand_group: on_demand, spot_group: max(0, min(total - 1, room))}
+
+
+def find_price(traits: ScalingTraits, group: ScalingGroup) -> float:
+    """Return the price of one upstream per second."""
+    share = traits.spot_price if group.is_spot else None
+    price = traits.zone_prices.get(group.zone, 1.0)
     return price if share is None else share * price
 
 
@@ -163,16 +166,16 @@
     """
 
     def __init__(self) -> None:
-        self._wanted: dict[ScaleSubject, int] = {}
-        self._seen: dict[ScaleSubject, int] = {}
-        self._ordered: dict[ScaleSubject, int] = {}
-        self._tried: dict[ScaleSubject, float] = {}
-        self._boot: dict[PoolId, float] = {}
-        self._peaks: dict[PoolId, PeakWork] = {}
-        self._held: dict[ScaleSubject, int] = {}
-        self._began: float | None = None
-        self._changed = 0.0
-        self._prices: dict[ScaleSubject, float] = {}
+        self._wanted: dict[ScalingGroup, int] = {}
+        self._present: dict[ScalingGroup, int] = {}
+        self._ordered: dict[ScalingGroup, int] = {}
+        self._last_attempt: dict[ScalingGroup, float] = {}
+        self._boot_seconds: dict[PoolId, float] = {}
+        self._peaks: dict[PoolId, PeakLoad] = {}
+        self._max_present: dict[ScalingGroup, int] = {}
+        self._started_at: float | None = None
+        self._changed_at = 0.0
+        self._prices: dict[ScalingGroup, float] = {}
 
     @property
     def wanted(self) -> int:
@@ -181,97 +184,97 @@
 
     @property
     def price(self) -> float:
-        """What those that are wanted cost in one second, by the declared prices."""
+        """The price of the wanted upstreams per second, by the declared prices."""
         return sum(
-            count * self._prices.get(subject, 1.0)
-            for subject, count in self._wanted.items()
+            count * self._prices.get(group, 1.0)
+            for group, count in self._wanted.items()
         )
 
-    def seen(self, subject: ScaleSubject) -> int:
-        """Return how many of what an order is for are there, leaving ones left out."""
-        return self._seen.get(subject, 0)
+    def count_present(self, group: ScalingGroup) -> int:
+        """Return how many upstreams of a group are present, excluding leaving ones."""
+        return self._present.get(group, 0)
 
-    def peak(self, service: PoolId) -> float:
-        """Return how many upstreams the largest work would keep busy."""
+    def peak_busy(self, service: PoolId) -> float:
+        """Return how many upstreams the peak load would keep fully busy."""
         known = self._peaks.get(service)
         return 0.0 if known is None else known.busy
 
     def begin(self) -> None:
-        """Take the duty over: what was ordered before is not known."""
+        """Reset on taking over the duties: earlier orders are not known."""
         self._ordered.clear()
-        self._tried.clear()
+        self._last_attempt.clear()
         self._peaks.clear()
-        self._held.clear()
-        self._began = None
+        self._max_present.clear()
+        self._started_at = None
 
-    def look(self, services: Sequence[ScaledService], now: float) -> None:
-        """Take what is there now, and work out what is wanted."""
-        self._count(services, now)
+    def update(self, services: Sequence[ScaledService], now: float) -> None:
+        """Update the upstreams that are present, and compute the wanted numbers."""
+        self._update_present(services, now)
         self._wanted.clear()
         for scaled in services:
-            peak = self._peaks.setdefault(scaled.service, PeakWork(now))
-            peak.note(scaled.busy, now)
-            self._boot[scaled.service] = scaled.traits.boot
-            wanted = plan_upstreams(scaled, peak, self._held, now)
+            peak = self._peaks.setdefault(scaled.service, PeakLoad(now))
+            peak.record(scaled.busy, now)
+            self._boot_seconds[scaled.service] = scaled.traits.boot
+            wanted = plan_upstreams(scaled, peak, self._max_present, now)
             self._wanted.update(wanted)
             self._prices.update(
-                {subject: find_price(scaled.traits, subject) for subject in wanted}
+                {group: find_price(scaled.traits, group) for group in wanted}
             )
 
-    def find_order(self, now: float) -> tuple[ScaleSubject, int] | None:
-        """Return the order that is to be made now; more upstreams come first."""
-        if self._began is None or not self._is_steady(now):
+    def find_order(self, now: float) -> tuple[ScalingGroup, int] | None:
+        """Return the order that is due; the largest increase comes first."""
+        if self._started_at is None or not self._is_stable(now):
             return None
         due = [
-            (count - self._seen.get(subject, 0), subject, count)
-            for subject, count in self._wanted.items()
-            if self._is_due(subject, count, now)
+            (count - self._present.get(group, 0), group, count)
+            for group, count in self._wanted.items()
+            if self._is_due(group, count, now)
         ]
         if not due:
             return None
-        _, subject, count = max(due, key=lambda item: item[0])
-        return subject, count
+        _, group, count = max(due, key=lambda item: item[0])
+        return group, count
 
-    def note_sent(
-        self, subject: ScaleSubject, count: int, result: CallResult, now: float
+    def record_result(
+        self, group: ScalingGroup, count: int, result: CallResult, now: float
     ) -> None:
-        """Take note of how an order ended."""
-        self._tried[subject] = now
+        """Record the result of an order."""
+        self._last_attempt[group] = now
         if result is CallResult.DONE:
-            self._ordered[subject] = count
+            self._ordered[group] = count
         else:
-            self._ordered.pop(subject, None)
+            self._ordered.pop(group, None)
 
-    def _count(self, services: Sequence[ScaledService], now: float) -> None:
-        """Count the upstreams that are there, leaving ones left out."""
-        seen = Counter(
-            ScaleSubject(entry.service, entry.zone, entry.is_spot)
+    def _update_present(self, services: Sequence[ScaledService], now: float) -> None:
+        """Count the upstreams that are present, excluding leaving ones."""
+        present = Counter(
+            ScalingGroup(entry.service, entry.zone, entry.is_spot)
             for scaled in services
             for entry in scaled.upstreams
             if not entry.leaving
         )
-        if self._began is None:
-            self._began = now
-        if self._seen != seen:
-            self._changed = now
-        self._seen = dict(seen)
-        for subject, count in seen.items():
-            self._held[subject] = max(count, self._held.get(subject, 0))
-
-    def _is_steady(self, now: float) -> bool:
-        """Tell whether what is seen is all that is there, as far as can be told."""
-        assert self._began is not None
-        is_old = now - self._began >= PATIENCE_SECONDS
-        return is_old or now - max(self._began, self._changed) >= STEADY_SECONDS
-
-    def _is_due(self, subject: ScaleSubject, count: int, now: float) -> bool:
-        waited = now - self._tried.get(subject, -math.inf)
-        ordered = self._ordered.get(subject)
-        seen = self._seen.get(subject, 0)
+        if self._started_at is None:
+            self._started_at = now
+        if self._present != present:
+            self._changed_at = now
+        self._present = dict(present)
+        for group, count in present.items():
+            self._max_present[group] = max(count, self._max_present.get(group, 0))
+
+    def _is_stable(self, now: float) -> bool:
+        """Return whether the list of upstreams can be assumed to be complete."""
+        assert self._started_at is not None
+        is_old = now - self._started_at >= MAX_STABILIZATION_SECONDS
+        return is_old or now - max(self._started_at, self._changed_at) >= STABLE_SECONDS
+
+    def _is_due(self, group: ScalingGroup, count: int, now: float) -> bool:
+        waited = now - self._last_attempt.get(group, -math.inf)
+        ordered = self._ordered.get(group)
+        present = self._present.get(group, 0)
         if ordered is None:
-            # An order for what is there would give back what is not listed yet.
-            return seen != count and waited >= RETRY_SECONDS
+            # Ordering the present number would release upstreams not listed yet.
+            return present != count and waited >= RETRY_SECONDS
         if ordered != count:
             return True
-        patience = self._boot[subject.service] + MISSING_SECONDS
-        return seen < count and waited >= patience
+        patience = self._boot_seconds[group.service] + BOOT_GRACE_SECONDS
+        return present < count and waited >= patience
--- a/src/rudderpass/duties/_usage.py
+++ b/src/rudderpass/duties/_usage.py
@@ -1,8 +1,8 @@
-"""Counting the requests that began to run, by window and team.
+"""Counts the requests that started, by window and team.
 
-Each host counts its own and tells all its counts again and again, until the window is
-settled; whoever hears them keeps the largest. So lost or repeated datagrams change
-nothing, and a killed host loses only what it counted since it last told.
+Each host counts its own requests and resends all its counts until the window is
+settled; receivers keep the largest. Lost or duplicate datagrams are thus harmless, and
+a killed host loses only what it counted since its last send.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from rudderpass.duties._windows import WindowClock
 
 CLOSING_SECONDS = 1.0
-"""After the end of a window until a host's counts for it are complete: a request that
-is no stream counts from its sending, and is known to have run when it is answered."""
+"""Time after the end of a window until a host's counts for it are complete: a request
+that is not a stream counts in the window in which it was sent, but is known to have run
+only when the response arrives."""
 
 _MS = 1000.0
 
 MAX_WINDOWS = 12
-"""Windows kept, a minute's; none is settled while no host holds the duties."""
+"""Windows kept, one minute's worth; none is settled while no host holds the duties."""
 
 
 class UsageCounter:
@@ -38,23 +39,23 @@
         self._counts: dict[int, Counter[TeamId]] = {}
         self._settled_before = 0
 
-    def note_begun(self, team: TeamId | None, moment: float) -> None:
-        """Count a request that began to run at a moment."""
+    def record_started(self, team: TeamId | None, moment: float) -> None:
+        """Count a request that started at ``moment``."""
         window = self._clock.window_at(moment)
         if team is None or window < self._settled_before:
             return
         self._counts.setdefault(window, Counter())[team] += 1
 
-    def forget_before(self, window: int) -> None:
-        """Forget windows that are settled."""
+    def discard_before(self, window: int) -> None:
+        """Discard windows that are settled."""
         self._settled_before = max(self._settled_before, window)
         newest = max(self._counts, default=0)
         first = max(self._settled_before, newest - MAX_WINDOWS + 1)
         for old in [known for known in self._counts if known < first]:
             del self._counts[old]
 
-    def describe(self, now: float) -> HostUsage:
-        """Return all that is not settled."""
+    def snapshot(self, now: float) -> HostUsage:
+        """Return all counts that are not settled."""
         return HostUsage(
             self._start,
             self._clock.window_at(now - CLOSING_SECONDS),
@@ -65,8 +66,8 @@
         )
 
 
-class UsageBook:
-    """What all hosts have counted, as one of them hears it.
+class UsageTracker:
+    """The counts of all hosts, as received by one of them.
 
     Not thread-safe: the host's lock guards it.
     """
@@ -74,22 +75,22 @@
     def __init__(self) -> None:
         self._counts: dict[int, dict[tuple[NodeId, int], Counter[TeamId]]] = {}
         self._closed: dict[NodeId, int] = {}
-        self._forgotten_before = 0
+        self._discarded_before = 0
 
     @property
     def windows(self) -> Collection[int]:
-        """The windows of which anything was heard."""
+        """The windows with any counts."""
         return self._counts.keys()
 
-    def take(self, host: NodeId, usage: HostUsage) -> None:
-        """Take a host's counts."""
+    def merge(self, host: NodeId, usage: HostUsage) -> None:
+        """Merge the counts of a host."""
         self._closed[host] = max(usage.closed_before, self._closed.get(host, 0))
-        for told in usage.windows:
-            if told.window < self._forgotten_before:
+        for reported in usage.windows:
+            if reported.window < self._discarded_before:
                 continue
-            hosts = self._counts.setdefault(told.window, {})
+            hosts = self._counts.setdefault(reported.window, {})
             known = hosts.setdefault((host, usage.start), Counter())
-            for team, count in told.counts.items():
+            for team, count in reported.counts.items():
                 known[team] = max(known[team], count)
         self._drop_oldest()
 
@@ -103,18 +104,18 @@
     def first_start(self, window: int) -> float | None:
         """Return when the oldest host that counted in a window started, Unix seconds.
 
-        None where none did.
+        None if none did.
         """
         starts = [start for _, start in self._counts.get(window, {})]
         return min(starts) / _MS if starts else None
 
     def is_closed(self, window: int, hosts: Collection[NodeId]) -> bool:
-        """Tell whether hosts have told all that they counted in a window."""
+        """Return whether the hosts have sent their complete counts for a window."""
         return all(self._closed.get(host, 0) > window for host in hosts)
 
-    def forget_before(self, window: int) -> None:
-        """Forget windows that are settled."""
-        self._forgotten_before = max(self._forgotten_before, window)
+    def discard_before(self, window: int) -> None:
+        """Discard windows that are settled."""
+        self._discarded_before = max(self._discarded_before, window)
         for old in [known for known in self._counts if known < window]:
             del self._counts[old]
 
--- a/src/rudderpass/duties/_windows.py
+++ b/src/rudderpass/duties/_windows.py
@@ -1,21 +1,21 @@
-"""Windows of true time, on a host whose time of day may jump."""
+"""Time windows in true time, robust to jumps of the host's wall clock."""
 
 from __future__ import annotations
 
-SLEW_SECONDS = 0.2
-"""Differences up to this are how a clock is kept right, and are followed at once."""
+MAX_SLEW_SECONDS = 0.2
+"""Offsets up to this are ordinary clock corrections, and are followed at once."""
 
-JUMP_SECONDS = 600.0
-"""A larger jump of the time of day is believed once it has lasted so long: a clock that
-jumps to a wrong time is put right sooner."""
+JUMP_CONFIRM_SECONDS = 600.0
+"""A larger jump of the wall clock is accepted once it has lasted this long: a clock
+that jumps to a wrong time is corrected sooner."""
 
 
 class WindowClock:
-    """Tells in which window of true time a moment lies.
+    """Maps times to windows of true time.
 
     :param length: of a window, seconds.
-    :param now: a moment on the steady clock of all other calls.
-    :param wall: the time of day then, Unix seconds.
+    :param now: the time on the monotonic clock that all other calls use.
+    :param wall: the wall-clock time at ``now``, Unix seconds.
     """
 
     def __init__(self, length: float, now: float, wall: float) -> None:
@@ -25,29 +25,29 @@
 
     @property
     def length(self) -> float:
-        """Of a window, seconds."""
+        """The length of a window, seconds."""
         return self._length
 
-    def look(self, now: float, wall: float) -> None:
-        """Compare with the time of day."""
+    def adjust(self, now: float, wall: float) -> None:
+        """Adjust the offset to the wall clock."""
         offset = wall - now
-        if abs(offset - self._offset) <= SLEW_SECONDS:
+        if abs(offset - self._offset) <= MAX_SLEW_SECONDS:
             self._offset = offset
             self._jumped_at = None
         elif self._jumped_at is None:
             self._jumped_at = now
-        elif now - self._jumped_at >= JUMP_SECONDS:
+        elif now - self._jumped_at >= JUMP_CONFIRM_SECONDS:
             self._offset = offset
             self._jumped_at = None
 
     def window_at(self, moment: float) -> int:
-        """Return the window in which a moment lies."""
+        """Return the window that contains ``moment``."""
         return int((moment + self._offset) // self._length)
 
     def wall_at(self, moment: float) -> float:
-        """Return the true time of a moment, Unix seconds."""
+        """Return the true time of ``moment``, Unix seconds."""
         return moment + self._offset
 
-    def begin_of(self, window: int) -> float:
-        """Return the moment at which a window begins; the one before it ends then."""
+    def window_start(self, window: int) -> float:
+        """Return the time at which a window starts and the one before it ends."""
         return window * self._length - self._offset
--- a/src/rudderpass/exchange/_core.py
+++ b/src/rudderpass/exchange/_core.py
@@ -35,7 +35,7 @@
 from rudderpass.exchange._throttling import Throttling
 from rudderpass.exchange._weights import SERVICE_SECONDS
 from rudderpass.learning import StreamSample
-from rudderpass.quarantine import QuarantineBook
+from rudderpass.quarantine import QuarantineTracker
 
 MIN_EXPECTED_SECONDS = 0.05
 """Below this an expected time says too little to learn a speed from."""
@@ -76,7 +76,7 @@
         self._holds = HoldTimes()
         self._caches = CacheBook(directory, self._knowledge.prefixes)
         self._budget = SharedRetryBudget(rule, restarted_at)
-        self._quarantine = QuarantineBook()
+        self._quarantine = QuarantineTracker()
         self._crashes = CrashEvidence(directory, self._knowledge, self._quarantine)
         self._throttling = Throttling(self._knowledge, rank_host)
         self._count_hosts = count_hosts
@@ -97,7 +97,7 @@
         return self._loads
 
     @property
-    def quarantine(self) -> QuarantineBook:
+    def quarantine(self) -> QuarantineTracker:
         """The requests that may crash upstreams."""
         return self._quarantine
 
@@ -300,7 +300,7 @@
         if assignment.is_answering:
             return
         assignment.answering_since = now
-        self._quarantine.note_alive(assignment.upstream, assignment.sent, now)
+        self._quarantine.record_alive(assignment.upstream, assignment.sent, now)
         self._begun.note(assignment)
         self._loads.end(assignment.upstream, assignment.reading)
         if assignment.slot_wait > 0.0:
--- a/src/rudderpass/exchange/_crashes.py
+++ b/src/rudderpass/exchange/_crashes.py
@@ -5,7 +5,7 @@
 from rudderpass._ids import UpstreamId
 from rudderpass.directory import Directory
 from rudderpass.exchange._choice import Knowledge
-from rudderpass.quarantine import CutSend, QuarantineBook
+from rudderpass.quarantine import CutSend, QuarantineTracker
 
 DISPROOF_SECONDS = 10.0
 CURRENT_LIST_SECONDS = 5.0
@@ -21,7 +21,7 @@
     """
 
     def __init__(
-        self, directory: Directory, knowledge: Knowledge, quarantine: QuarantineBook
+        self, directory: Directory, knowledge: Knowledge, quarantine: QuarantineTracker
     ) -> None:
         self._directory = directory
         self._knowledge = knowledge
@@ -34,7 +34,7 @@
         """
         if self._directory.is_ending(cut.crash.upstream, now):
             return False
-        self._quarantine.note_cut(cut, now)
+        self._quarantine.record_cut(cut, now)
         return True
 
     def note_refused_connection(
@@ -43,11 +43,11 @@
         """Take note that nobody listens any more; return what was cut before."""
         self._knowledge.evidence_of(upstream).note_unreachable(now)
         self._knowledge.prefixes.forget_upstream(upstream)
-        return self._quarantine.note_crashed(upstream, now)
+        return self._quarantine.record_crash(upstream, now)
 
     def note_gone(self, upstream: UpstreamId, now: float) -> None:
         """Take note that an upstream's entry is gone, also after a planned end."""
-        self._quarantine.note_crashed(upstream, now)
+        self._quarantine.record_crash(upstream, now)
 
     def disprove(self, now: float) -> None:
         """Take back crashes of upstreams that go on to write their entries."""
@@ -55,4 +55,4 @@
             return
         for upstream in self._quarantine.crashed_before(now - DISPROOF_SECONDS):
             if self._directory.takes_work(upstream, now):
-                self._quarantine.disprove(upstream, now)
+                self._quarantine.retract_crash(upstream, now)
--- a/src/rudderpass/exchange/_vetting.py
+++ b/src/rudderpass/exchange/_vetting.py
@@ -88,7 +88,7 @@
 
         :raises CallerGone: when nobody waits for it any more.
         """
-        if not self._parts.core.quarantine.is_watching:
+        if not self._parts.core.quarantine.has_suspects:
             return Permit()
         if self._pause > 0:
             time.sleep(self._pause)
@@ -122,7 +122,7 @@
         self._note_cut(assigned, error)
         with self._parts.guard:
             book = self._parts.core.quarantine
-            if not book.is_watching:
+            if not book.has_suspects:
                 return True
             verdict = book.judge(self.fingerprint, _clock.now())
         if verdict.kind is not VerdictKind.FREE:
@@ -133,11 +133,11 @@
         """Take note that an upstream answered whole: it outlived the request."""
         self._is_on_trial = False
         book = self._parts.core.quarantine
-        if not book.is_watching:
+        if not book.has_suspects:
             return
         fingerprint = self.fingerprint
         with self._parts.guard:
-            book.note_served(fingerprint, self._accepted.team, _clock.now())
+            book.record_completed(fingerprint, self._accepted.team, _clock.now())
 
     def close(self) -> None:
         """End the trial, if one was begun and its send has ended."""
--- a/src/rudderpass/gossip/_beat.py
+++ b/src/rudderpass/gossip/_beat.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 
 from rudderpass._ids import AvailabilityZone, NodeId, PoolId, UpstreamId
-from rudderpass.duties import DutyNews, HostUsage
+from rudderpass.duties import DutyStatus, HostUsage
 from rudderpass.exchange import Load, RateLimitNews, Reading, SentPrompt
 from rudderpass.gossip._digest import Digest
 from rudderpass.learning import StreamSample
-from rudderpass.quarantine import SuspectNews
+from rudderpass.quarantine import SuspectUpdate
 
 
 @dataclass(frozen=True)
@@ -53,8 +53,8 @@
     number: int = 0
     digest: Digest | None = None
     link_mbps: int = 0
-    suspects: tuple[SuspectNews, ...] = ()
-    duty: DutyNews | None = None
+    suspects: tuple[SuspectUpdate, ...] = ()
+    duty: DutyStatus | None = None
     usage: HostUsage | None = None
     rate_limits: tuple[RateLimitNews, ...] = ()
     leaving: tuple[UpstreamId, ...] = ()
--- a/src/rudderpass/gossip/_codec.py
+++ b/src/rudderpass/gossip/_codec.py
@@ -16,7 +16,7 @@
 )
 from rudderpass._thrift import decode_struct, encode_struct
 from rudderpass.directory import URGENCY_RANKS, DirectoryState, KeyedRecord
-from rudderpass.duties import DutyNews
+from rudderpass.duties import DutyStatus
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, PartId, PromptPart, Reading, SentPrompt
 from rudderpass.gossip._beat import Beat
@@ -119,10 +119,10 @@
         raise PeerError(f"incomplete beat: {error}", step="decode") from error
 
 
-def _duty_from_wire(raw: wire.Beat) -> DutyNews | None:
+def _duty_from_wire(raw: wire.Beat) -> DutyStatus | None:
     if raw.duty_token is None:
         return None
-    return DutyNews(
+    return DutyStatus(
         FencingToken(raw.duty_token), bool(raw.holds_duties), raw.usage_settled or 0
     )
 
--- a/src/rudderpass/gossip/_suspects.py
+++ b/src/rudderpass/gossip/_suspects.py
@@ -10,12 +10,12 @@
 from rudderpass.errors import PeerError
 from rudderpass.gossip._gen.wire import ttypes as wire
 from rudderpass.gossip._wire import MAX_I32, given
-from rudderpass.quarantine import MAX_CRASHES, Crash, SuspectNews
+from rudderpass.quarantine import MAX_CRASHES, Crash, SuspectUpdate
 
 _MS = 1000.0
 
 
-def suspect_to_wire(news: SuspectNews) -> wire.Suspect:
+def suspect_to_wire(news: SuspectUpdate) -> wire.Suspect:
     """Return the struct of what is told of one request."""
     return wire.Suspect(
         news.fingerprint,
@@ -31,12 +31,12 @@
     )
 
 
-def suspect_from_wire(raw: wire.Suspect) -> SuspectNews:
+def suspect_from_wire(raw: wire.Suspect) -> SuspectUpdate:
     """Return what a struct tells.
 
     :raises TypeError: when a field is missing.
     """
-    return SuspectNews(
+    return SuspectUpdate(
         Fingerprint(bytes(given(raw.fingerprint))),
         None if raw.team is None else TeamId(raw.team),
         tuple(_crash_from_wire(crash) for crash in (raw.crashes or ())[:MAX_CRASHES]),
@@ -46,7 +46,7 @@
 
 
 def encode_host_record(
-    zone: AvailabilityZone, quarantined: Iterable[SuspectNews], written: float
+    zone: AvailabilityZone, quarantined: Iterable[SuspectUpdate], written: float
 ) -> bytes:
     """Return what a host keeps of itself in the platform's log.
 
@@ -56,7 +56,7 @@
     return encode_struct(wire.HostRecord(zone, suspects, round(written * _MS)))
 
 
-def decode_quarantined(data: bytes, now: float) -> tuple[SuspectNews, ...]:
+def decode_quarantined(data: bytes, now: float) -> tuple[SuspectUpdate, ...]:
     """Return the requests in a host's record, with the ages of ``now``, Unix time.
 
     :raises PeerError: when the bytes are no such record.
@@ -70,7 +70,7 @@
     return tuple(_age(news, passed) for news in suspects)
 
 
-def _age(news: SuspectNews, passed: float) -> SuspectNews:
+def _age(news: SuspectUpdate, passed: float) -> SuspectUpdate:
     return replace(
         news,
         crashes=tuple(
--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -15,22 +15,22 @@
 from rudderpass.duties import (
     Action,
     CallResult,
+    ClusterView,
+    DutyCoordinator,
     DutyHolder,
-    DutyKeeper,
-    DutyNews,
-    Holding,
+    DutyStatus,
+    HolderElection,
     HostUsage,
     ReadLog,
-    ReportRule,
+    ReportPolicy,
     ScaledService,
     ScaleOrders,
-    ScaleSubject,
+    ScalingGroup,
     SendOrder,
     SendReport,
-    Surroundings,
-    UsageBook,
     UsageCounter,
     UsageReports,
+    UsageTracker,
     WindowClock,
     WriteClaim,
     WriteUsage,
@@ -74,7 +74,7 @@
         own: NodeId,
         core: ExchangeCore,
         guard: threading.RLock,
-        surroundings: Callable[[float], Surroundings],
+        surroundings: Callable[[float], ClusterView],
         stopping: threading.Event,
     ) -> None:
         now, wall = _clock.now(), time.time()
@@ -89,18 +89,18 @@
         self._stopping = stopping
         self._clock = WindowClock(settings.window, now, wall)
         self._counter = UsageCounter(self._clock, start)
-        self._book = UsageBook()
+        self._book = UsageTracker()
         self._reports_usage = settings.reports_usage
-        rule = ReportRule(settings.late)
+        rule = ReportPolicy(settings.late)
         reports = self._reports = UsageReports(rule, self._clock, self._book, now)
         makes_orders = settings.order_mode is not OrderMode.OFF
         makes_orders = makes_orders and settings.orders_upstreams
         self._orders = ScaleOrders() if makes_orders else None
         self._is_dry_run = settings.order_mode is OrderMode.DRY_RUN
         self._most_upstreams = settings.most_upstreams
-        self._keeper = DutyKeeper(
+        self._keeper = DutyCoordinator(
             holder,
-            Holding(holder, settings.holding, now),
+            HolderElection(holder, settings.holding, now),
             reports if settings.reports_usage else None,
             self._orders,
         )
@@ -109,9 +109,9 @@
         self._thread: threading.Thread | None = None
 
     @property
-    def news(self) -> DutyNews:
+    def news(self) -> DutyStatus:
         """What peers are told; to be read under the guard."""
-        return self._keeper.news
+        return self._keeper.status
 
     @property
     def token(self) -> FencingToken | None:
@@ -121,7 +121,7 @@
     @property
     def reports_waiting(self) -> int:
         """How many usage reports are settled and have not reached the platform."""
-        return self._reports.waiting if self.holds else 0
+        return self._reports.unsent_count if self.holds else 0
 
     @property
     def upstreams_wanted(self) -> int:
@@ -142,34 +142,34 @@
         """Count a request that began to run at a moment."""
         if self._reports_usage:
             with self._guard:
-                self._counter.note_begun(team, moment)
+                self._counter.record_started(team, moment)
 
     def take(self, beat: Beat, now: float) -> None:
         """Take what a peer's beat tells; called under the guard."""
         if beat.duty is not None:
-            self._keeper.hear(beat.duty, beat.stopping, now)
+            self._keeper.receive(beat.duty, beat.stopping, now)
             self._forget_before(beat.duty.settled_before)
         if beat.usage is not None:
-            self._book.take(beat.sender, beat.usage)
+            self._book.merge(beat.sender, beat.usage)
 
     def find_telling(self, now: float) -> HostUsage | None:
         """Return the counts that are to be told now; called under the guard."""
         if not self._reports_usage or now < self._next_tell:
             return None
         self._next_tell = now + TELL_SECONDS
-        usage = self._counter.describe(now)
-        self._book.take(self._own, usage)
+        usage = self._counter.snapshot(now)
+        self._book.merge(self._own, usage)
         return usage
 
     def tick(self, now: float) -> None:
         """Note the passing of time; have the calls made that are due."""
         with self._guard:
-            self._clock.look(now, time.time())
+            self._clock.adjust(now, time.time())
             around = self._surroundings(now)
             held = self._keeper.token
-            self._keeper.look(around, now)
+            self._keeper.tick(around, now)
             if self.holds:
-                self._forget_before(self._keeper.news.settled_before)
+                self._forget_before(self._keeper.status.settled_before)
                 self._look_at_upstreams(now)
             is_due = self._keeper.next_action(around, now) is not None
         self._log_change(held)
@@ -178,8 +178,8 @@
             self._wake.set()
 
     def _forget_before(self, window: int) -> None:
-        self._counter.forget_before(window)
-        self._book.forget_before(window)
+        self._counter.discard_before(window)
+        self._book.discard_before(window)
 
     def _look_at_upstreams(self, now: float) -> None:
         config = self._core.directory.config
@@ -188,7 +188,7 @@
         scaled = [
             self._survey(s.name, s.scaling, now) for s in config.services if s.scaling
         ]
-        self._orders.look(scaled, now)
+        self._orders.update(scaled, now)
 
     def _survey(
         self, service: PoolId, traits: ScalingTraits, now: float
@@ -244,19 +244,19 @@
             self._note_log_failed(False, error)
             return
         with self._guard:
-            self._keeper.note_log(read_duty_log(page), _clock.now())
+            self._keeper.record_log(read_duty_log(page), _clock.now())
 
     @_perform.register
     def _(self, action: WriteClaim) -> None:
         if self._append(action.end, HOLDER_KEY, encode_duty_holder(action.holder)):
             with self._guard:
-                self._keeper.note_claimed(action, _clock.now())
+                self._keeper.record_claim(action, _clock.now())
 
     @_perform.register
     def _(self, action: WriteUsage) -> None:
         if self._append(action.end, USAGE_KEY, encode_settled_usage(action.usage)):
             with self._guard:
-                self._keeper.note_usage_written(action)
+                self._keeper.record_usage_written(action)
 
     @_perform.register
     def _(self, action: SendReport) -> None:
@@ -264,7 +264,7 @@
             self._name, action.token, action.usage
         )
         usage = action.usage
-        age = _clock.now() - self._clock.begin_of(usage.window + 1)
+        age = _clock.now() - self._clock.window_start(usage.window + 1)
         log(
             "duty",
             f"usage of window {usage.window}: {result.value}.",
@@ -276,11 +276,11 @@
             age=round(age, 3),
         )
         with self._guard:
-            self._keeper.note_report(action, result, _clock.now())
+            self._keeper.record_report_result(action, result, _clock.now())
 
     @_perform.register
     def _(self, action: SendOrder) -> None:
-        subject = action.subject
+        subject = action.group
         result, word = CallResult.DONE, "not made, a dry run"
         if not self._is_dry_run:
             result = self._access.platform.order_upstreams(
@@ -303,14 +303,14 @@
             **inputs,
         )
         with self._guard:
-            self._keeper.note_order(action, result, _clock.now())
+            self._keeper.record_order_result(action, result, _clock.now())
 
-    def _describe_order(self, subject: ScaleSubject) -> dict[str, float]:
+    def _describe_order(self, subject: ScalingGroup) -> dict[str, float]:
         """Return what an order was decided by; to be called under the guard."""
         assert self._orders is not None
         return {
-            "seen": self._orders.seen(subject),
-            "peak_busy": round(self._orders.peak(subject.service), 2),
+            "seen": self._orders.count_present(subject),
+            "peak_busy": round(self._orders.peak_busy(subject.service), 2),
             "list_age": round(self._core.directory.list_age(_clock.now()), 3),
         }
 
@@ -330,7 +330,7 @@
         reason = "others have written" if error is None else error.show()
         log("duty", "the log of the duties failed.", error=reason)
         with self._guard:
-            self._keeper.note_log_failed(is_passed, _clock.now())
+            self._keeper.record_log_failure(is_passed, _clock.now())
 
     def _log_change(self, held: FencingToken | None) -> None:
         token = self._keeper.token
--- a/src/rudderpass/host/_duty_access.py
+++ b/src/rudderpass/host/_duty_access.py
@@ -13,7 +13,7 @@
     CallResult,
     DutyHolder,
     DutyLog,
-    ScaleSubject,
+    ScalingGroup,
     SettledUsage,
     WindowUsage,
 )
@@ -50,7 +50,7 @@
         """Report a window's usage."""
 
     def order_upstreams(
-        self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
+        self, holder: str, token: FencingToken, subject: ScalingGroup, count: int
     ) -> CallResult:
         """Order a number of upstreams."""
 
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -320,7 +320,7 @@
             return
         with self._guard:
             book = self._core.quarantine
-            book.take(registered.quarantined, False, _clock.now())
+            book.merge(registered.quarantined, False, _clock.now())
         self._peers.meet(registered.hosts)
 
     def _note_store_news(self, learned: list[Learned]) -> None:
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -9,7 +9,7 @@
 from rudderpass import _clock
 from rudderpass._ids import AvailabilityZone, NodeId
 from rudderpass.directory import CURRENT_SECONDS, DirectoryState, Learned, StoreFollower
-from rudderpass.duties import Surroundings
+from rudderpass.duties import ClusterView
 from rudderpass.errors import PeerError
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore, SentPrompt
@@ -166,13 +166,13 @@
         self._next_beat = min(self._next_beat, _clock.now() + GATHERING_SECONDS)
         self._wake.set()
 
-    def survey(self, now: float) -> Surroundings:
+    def survey(self, now: float) -> ClusterView:
         """Return what the duties' holder must know; to be called under the guard."""
         hears = self._follower is not None and self._follower.has_heard(
             now, CANDIDATE_SECONDS
         )
         is_candidate = hears and not self._core.is_stopping
-        return Surroundings(
+        return ClusterView(
             (self.address, *self._mesh.live(now)),
             self._mesh.last_heard,
             self._rule.count_candidates_before(now) if is_candidate else None,
--- a/src/rudderpass/host/_quarantine.py
+++ b/src/rudderpass/host/_quarantine.py
@@ -10,7 +10,7 @@
 from rudderpass.eventlog import log
 from rudderpass.host._admin import QuarantinedRequest
 from rudderpass.host._registry import HostRegistry, QuarantineArchive
-from rudderpass.quarantine import QuarantineBook, QuarantineChange, SuspectNews
+from rudderpass.quarantine import QuarantineChange, QuarantineTracker, SuspectUpdate
 
 
 class QuarantineControl:
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        book: QuarantineBook,
+        book: QuarantineTracker,
         guard: threading.RLock,
         registry: HostRegistry,
         tell_soon: Callable[[], None],
@@ -72,12 +72,12 @@
         self._archive.note_change()
         return True
 
-    def _describe(self) -> tuple[SuspectNews, ...]:
+    def _describe(self) -> tuple[SuspectUpdate, ...]:
         with self._guard:
             return self._book.describe_quarantined(_clock.now())
 
     def _note_change(self, change: QuarantineChange) -> None:
-        if change.is_own:
+        if change.is_local:
             self._archive.note_change()
         word = "quarantined" if change.is_quarantined else "released"
         log(
@@ -87,5 +87,5 @@
             team=change.team,
             quarantined=change.is_quarantined,
             upstreams=list(change.upstreams),
-            seen_here=change.is_own,
+            seen_here=change.is_local,
         )
--- a/src/rudderpass/host/_registry.py
+++ b/src/rudderpass/host/_registry.py
@@ -17,7 +17,7 @@
 from rudderpass.errors import PeerError, PlatformError
 from rudderpass.eventlog import log
 from rudderpass.gossip import decode_quarantined, encode_host_record
-from rudderpass.quarantine import SuspectNews
+from rudderpass.quarantine import SuspectUpdate
 
 REGISTER_PAUSE_SECONDS = 1.0
 """Between attempts to announce this host; peers also learn of it from its beats."""
@@ -45,7 +45,7 @@
     """All that the hosts keep in the store."""
 
     hosts: Collection[NodeId]
-    quarantined: tuple[SuspectNews, ...]
+    quarantined: tuple[SuspectUpdate, ...]
 
 
 class HostRegistry:
@@ -66,7 +66,7 @@
         """Tell whether this host is listed."""
         return self._own in registered.hosts
 
-    def write(self, quarantined: Collection[SuspectNews] = ()) -> None:
+    def write(self, quarantined: Collection[SuspectUpdate] = ()) -> None:
         """Write this host's record.
 
         :raises PlatformError: when it may not have been written.
@@ -80,7 +80,7 @@
         :raises PlatformError: when the store does not answer.
         """
         records = self._store.read_newest(self._topic).records
-        quarantined: list[SuspectNews] = []
+        quarantined: list[SuspectUpdate] = []
         for record in records:
             try:
                 quarantined += decode_quarantined(record.value or b"", time.time())
@@ -146,7 +146,7 @@
     def __init__(
         self,
         registry: HostRegistry,
-        describe: Callable[[], Collection[SuspectNews]],
+        describe: Callable[[], Collection[SuspectUpdate]],
         stopping: threading.Event,
     ) -> None:
         self._registry = registry
--- a/src/rudderpass/host/_settings.py
+++ b/src/rudderpass/host/_settings.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from rudderpass._ids import AvailabilityZone
-from rudderpass.duties import HoldingRule
+from rudderpass.duties import LeasePolicy
 from rudderpass.exchange import BudgetRule
 
 
@@ -36,7 +36,7 @@
     platform: str
     reports_usage: bool
     orders_upstreams: bool
-    holding: HoldingRule
+    holding: LeasePolicy
     window: float = 5.0
     late: float = 10.0
     order_mode: OrderMode = OrderMode.ON
--- a/src/rudderpass/host/_telling.py
+++ b/src/rudderpass/host/_telling.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import AvailabilityZone, NodeId
-from rudderpass.duties import DutyNews, HostUsage
+from rudderpass.duties import DutyStatus, HostUsage
 from rudderpass.exchange import (
     ExchangeCore,
     RateLimitNews,
@@ -29,7 +29,7 @@
     choose_server,
 )
 from rudderpass.learning import StreamSample
-from rudderpass.quarantine import SuspectNews
+from rudderpass.quarantine import SuspectUpdate
 
 PRESENCE_BEATS = 2
 """One relayed beat in so many also tells that this host is there: one that follows the
@@ -73,7 +73,7 @@
         core: ExchangeCore,
         mesh: Mesh,
         is_current: Callable[[float], bool],
-        read_duty: Callable[[], DutyNews | None] = lambda: None,
+        read_duty: Callable[[], DutyStatus | None] = lambda: None,
     ) -> None:
         self._own = own
         self._zone = zone
@@ -116,7 +116,7 @@
         """
         self._number += 1
         self._core.loads.note_told(self._number, now)
-        suspects = self._core.quarantine.tell(now)
+        suspects = self._core.quarantine.due_updates(now)
         rate_limits = self._core.rate_limits.tell(now)
         beat = self._make_beat(
             now,
@@ -152,7 +152,7 @@
                 beat.sender, ToldWork(beat.loads, beat.reading), beat.zone, now
             )
         self._core.take_news(beat.prompts, beat.streams, now)
-        self._core.quarantine.take(beat.suspects, self._relaying.is_relay, now)
+        self._core.quarantine.merge(beat.suspects, self._relaying.is_relay, now)
         for upstream, rate in self._core.rate_limits.take(beat.rate_limits, now):
             log_rate_limit(upstream, rate, beat.sender)
         for upstream in beat.leaving:
@@ -210,7 +210,7 @@
     def _compose_digests(
         self,
         relays: list[NodeId],
-        suspects: tuple[SuspectNews, ...],
+        suspects: tuple[SuspectUpdate, ...],
         rate_limits: tuple[RateLimitNews, ...],
         now: float,
     ) -> list[Message]:
@@ -298,7 +298,7 @@
         names_peers: bool = False,
         digest: Digest | None = None,
         has_work: bool = True,
-        suspects: tuple[SuspectNews, ...] = (),
+        suspects: tuple[SuspectUpdate, ...] = (),
         usage: HostUsage | None = None,
         rate_limits: tuple[RateLimitNews, ...] = (),
     ) -> Beat:
--- a/src/rudderpass/platform/_cloud.py
+++ b/src/rudderpass/platform/_cloud.py
@@ -9,7 +9,7 @@
 
 from rudderpass._ids import FencingToken
 from rudderpass._sockets import watch_liveness
-from rudderpass.duties import CallResult, ScaleSubject, WindowUsage
+from rudderpass.duties import CallResult, ScalingGroup, WindowUsage
 from rudderpass.eventlog import log
 
 HOLDER_HEADER = "X-Duty-Holder"
@@ -50,7 +50,7 @@
         return self._call(REPORT_PATH, holder, token, body)
 
     def order_upstreams(
-        self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
+        self, holder: str, token: FencingToken, subject: ScalingGroup, count: int
     ) -> CallResult:
         """Order a number of upstreams."""
         body: dict[str, object] = {
--- a/src/rudderpass/platform/_settings_file.py
+++ b/src/rudderpass/platform/_settings_file.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from rudderpass._ids import AvailabilityZone
-from rudderpass.duties import HoldingRule
+from rudderpass.duties import LeasePolicy
 from rudderpass.errors import SettingsError
 from rudderpass.exchange import BudgetRule
 from rudderpass.host import DutySettings, HostSettings
@@ -115,12 +115,12 @@
     orders_upstreams = _SCALE_DUTY in duties
     if not (reports_usage or orders_upstreams):
         return None
-    usual = DutySettings("", False, False, HoldingRule(0.0, 0.0, False))
+    usual = DutySettings("", False, False, LeasePolicy(0.0, 0.0, False))
     return DutySettings(
         platform=cloud.text("address"),
         reports_usage=reports_usage,
         orders_upstreams=orders_upstreams,
-        holding=HoldingRule(
+        holding=LeasePolicy(
             lease=bounds.number("leaseMs") / _MS,
             thaw_slack=bounds.number("thawSlackMs") / _MS,
             is_fenced=bounds.flag("fencingRequired"),
--- a/src/rudderpass/quarantine/_attribution.py
+++ b/src/rudderpass/quarantine/_attribution.py
@@ -1,4 +1,4 @@
-"""Which requests the crashes of upstreams are put down to."""
+"""Attribution of upstream crashes to the requests that caused them."""
 
 from __future__ import annotations
 
@@ -7,46 +7,52 @@
 from rudderpass._ids import Fingerprint, UpstreamId
 from rudderpass.quarantine._records import Crash
 
-PROVING_CRASHES = 3
-DOUBTFUL_CRASHES = 4
-"""Distinct crashes under one request that prove it to be their cause. Two happen to an
-innocent one that is resumed beside the guilty one. The second number holds where it was
-being answered at some of them: whatever crashes upstreams does so when it begins."""
+MIN_CRASHES = 3
+MIN_CRASHES_RESPONDING = 4
+"""Independent crashes under one request after which it is held to be their cause. An
+innocent request that is resumed on the same upstream as the cause sees two. The second
+number applies if a response had begun at some of the crashes: requests that crash
+upstreams do so when they start."""
 
-VOUCHED_FACTOR = 2
-"""A request that was answered whole not long before needs so many times more crashes:
-a body that many ask for runs beside every guilty one."""
+COMPLETED_FACTOR = 2
+"""Multiplies the crashes required for a request that completed recently: a popular body
+is in flight beside every request that crashes upstreams."""
 
 COMMON_CAUSE_SECONDS = 0.1
-"""Upstreams that crash within so long of one another, each with a copy of the request
-that was sent before, may share a rack or a switch: they count as one crash."""
+"""Upstreams that crash within this time of one another, each with a copy of the request
+that was sent before the first crash, may share a rack or a switch: they count as one
+crash."""
 
 
-LATENESS_SECONDS = 0.05
-"""By so much a peer's moments may be off, by the way of its news."""
+PEER_TIME_TOLERANCE_SECONDS = 0.05
+"""Tolerance for times reported by peers, which shift by the delivery delay."""
 
 
 def drop_later_sends(
     suspects: Mapping[Fingerprint, Collection[Crash]],
 ) -> dict[Fingerprint, list[Crash]]:
-    """Return the crashes that were under way when the upstream crashed.
+    """Return the crashes whose requests were in flight when the upstream crashed.
 
-    What is sent to an address whose upstream is gone may be cut as well, where
-    something else still takes the connections.
+    Requests sent to the address of a crashed upstream may be cut as well, if something
+    else still accepts connections there.
     """
-    moments: dict[UpstreamId, float] = {}
+    crash_times: dict[UpstreamId, float] = {}
     for crashes in suspects.values():
         for crash in crashes:
-            known = moments.get(crash.upstream, crash.at)
-            moments[crash.upstream] = min(known, crash.at)
+            known = crash_times.get(crash.upstream, crash.at)
+            crash_times[crash.upstream] = min(known, crash.at)
     kept = {
-        name: [c for c in cs if c.sent <= moments[c.upstream] + LATENESS_SECONDS]
-        for name, cs in suspects.items()
+        fingerprint: [
+            c
+            for c in cs
+            if c.sent <= crash_times[c.upstream] + PEER_TIME_TOLERANCE_SECONDS
+        ]
+        for fingerprint, cs in suspects.items()
     }
-    return {name: crashes for name, crashes in kept.items() if crashes}
+    return {fingerprint: crashes for fingerprint, crashes in kept.items() if crashes}
 
 
-def count_causes(crashes: Collection[Crash]) -> int:
+def count_independent_crashes(crashes: Collection[Crash]) -> int:
     """Return how many crashes are independent of one another."""
     count = 0
     last: Crash | None = None
@@ -60,75 +66,89 @@
 
 def find_culprits(
     suspects: Mapping[Fingerprint, Sequence[Crash]],
-    vouched: Collection[Fingerprint] = (),
+    recently_completed: Collection[Fingerprint] = (),
 ) -> dict[Fingerprint, int]:
-    """Return the requests that crashes are put down to, with how many crashes.
+    """Return the requests that caused crashes, with the number of their crashes.
 
-    :param vouched: those that were answered whole not long before.
+    :param recently_completed: those with a complete response shortly before.
 
-    Whatever runs beside a guilty request is cut with it. So crashes are gone through in
-    their order, and from the one that proves a request guilty on, its crashes count
-    against nobody else. A body that many ask for runs beside several guilty ones, and
-    may have more crashes in the end than each of them.
+    All requests on a crashed upstream are cut along with the culprit. So crashes are
+    processed in order of time, and once a request is found to be a culprit, its crashes
+    do not count against any other. A popular body is in flight beside several culprits,
+    and may end up with more crashes than each of them.
     """
-    # After a crash of many upstreams most suspects have one or two crashes, and looking
-    # at these again and again would take a host's time when it has the least.
-    grave = {n: cs for n, cs in suspects.items() if len(cs) >= PROVING_CRASHES}
+    # After many upstreams crash, most suspects have one or two crashes. Processing
+    # these repeatedly would use CPU time when the host has the least to spare.
+    eligible = {n: cs for n, cs in suspects.items() if len(cs) >= MIN_CRASHES}
     culprits: set[Fingerprint] = set()
     explained: set[UpstreamId] = set()
     seen: dict[Fingerprint, list[Crash]] = {}
-    for upstream, sights in _order(grave):
-        for name, crash in sights:
-            seen.setdefault(name, []).append(crash)
-        if any(name in culprits for name, _ in sights):
+    for upstream, requests in _group_by_upstream(eligible):
+        for fingerprint, crash in requests:
+            seen.setdefault(fingerprint, []).append(crash)
+        if any(fingerprint in culprits for fingerprint, _ in requests):
             explained.add(upstream)
             continue
-        left = {
-            name: exclude(crashes, explained)
-            for name, crashes in seen.items()
-            if name not in culprits
+        remaining = {
+            fingerprint: exclude(crashes, explained)
+            for fingerprint, crashes in seen.items()
+            if fingerprint not in culprits
         }
-        while (proved := _find_proved(left, vouched)) is not None:
-            left.pop(proved)
-            culprits.add(proved)
-            explained |= {crash.upstream for crash in seen[proved]}
-            left = {name: exclude(cs, explained) for name, cs in left.items()}
-    return {name: count_causes(seen[name]) for name in culprits}
+        while (
+            proven := _find_likeliest_culprit(remaining, recently_completed)
+        ) is not None:
+            remaining.pop(proven)
+            culprits.add(proven)
+            explained |= {crash.upstream for crash in seen[proven]}
+            remaining = {
+                fingerprint: exclude(cs, explained)
+                for fingerprint, cs in remaining.items()
+            }
+    return {
+        fingerprint: count_independent_crashes(seen[fingerprint])
+        for fingerprint in culprits
+    }
 
 
-def _order(
+def _group_by_upstream(
     suspects: Mapping[Fingerprint, Sequence[Crash]],
 ) -> list[tuple[UpstreamId, list[tuple[Fingerprint, Crash]]]]:
-    """Return the crashed upstreams in order, each with what ran there."""
-    sights: dict[UpstreamId, list[tuple[Fingerprint, Crash]]] = {}
-    for name, crashes in suspects.items():
+    """Return the crashed upstreams in order of time, each with its requests."""
+    requests: dict[UpstreamId, list[tuple[Fingerprint, Crash]]] = {}
+    for fingerprint, crashes in suspects.items():
         for crash in crashes:
-            sights.setdefault(crash.upstream, []).append((name, crash))
+            requests.setdefault(crash.upstream, []).append((fingerprint, crash))
     return sorted(
-        sights.items(), key=lambda item: (min(c.at for _, c in item[1]), item[0])
+        requests.items(), key=lambda item: (min(c.at for _, c in item[1]), item[0])
     )
 
 
-def _find_proved(
-    left: Mapping[Fingerprint, Sequence[Crash]], vouched: Collection[Fingerprint]
+def _find_likeliest_culprit(
+    remaining: Mapping[Fingerprint, Sequence[Crash]],
+    recently_completed: Collection[Fingerprint],
 ) -> Fingerprint | None:
-    """Return the likeliest of the requests that are proved guilty.
+    """Return the likeliest of the requests that have enough crashes.
 
-    :param left: the crashes of each that nothing else explains.
+    :param remaining: the crashes of each that no culprit explains.
     """
-    proved = [
-        name
-        for name, crashes in left.items()
-        if count_causes(crashes) >= needed_crashes(crashes, name in vouched)
+    proven = [
+        fingerprint
+        for fingerprint, crashes in remaining.items()
+        if count_independent_crashes(crashes)
+        >= required_crashes(crashes, fingerprint in recently_completed)
     ]
-    return max(proved, key=lambda name: (*_weigh(left[name]), name), default=None)
+    return max(
+        proven,
+        key=lambda fingerprint: (*_score(remaining[fingerprint]), fingerprint),
+        default=None,
+    )
 
 
-def needed_crashes(crashes: Collection[Crash], is_vouched: bool) -> int:
-    """Return how many crashes prove a request guilty that was under way at these."""
+def required_crashes(crashes: Collection[Crash], was_recently_completed: bool) -> int:
+    """Return how many independent crashes make a request a culprit."""
     is_silent = all(crash.silent for crash in crashes)
-    needed = PROVING_CRASHES if is_silent else DOUBTFUL_CRASHES
-    return needed * (VOUCHED_FACTOR if is_vouched else 1)
+    needed = MIN_CRASHES if is_silent else MIN_CRASHES_RESPONDING
+    return needed * (COMPLETED_FACTOR if was_recently_completed else 1)
 
 
 def exclude(
@@ -138,11 +158,11 @@
     return [crash for crash in crashes if crash.upstream not in explained]
 
 
-def _weigh(crashes: Sequence[Crash]) -> tuple[int, float]:
-    """Return what makes one request likelier than another with the same crashes.
+def _score(crashes: Sequence[Crash]) -> tuple[int, float]:
+    """Return the sort key for culprits with the same crashes.
 
-    The cause is the one that had just begun to run: it was never answered, or else was
-    sent the shortest time before.
+    The likeliest cause is the request that had just started: it got no response, or
+    else was sent the shortest time before the crash.
     """
     silent = sum(crash.silent for crash in crashes)
     return silent, -sum(crash.at - crash.sent for crash in crashes)
--- a/src/rudderpass/quarantine/_completed.py
+++ b/src/rudderpass/quarantine/_completed.py
@@ -1,4 +1,4 @@
-"""Which requests were answered whole lately, so that this speaks for them."""
+"""Requests that completed recently, which is evidence that they crash no upstream."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from rudderpass._ids import Fingerprint, TeamId
 
-MAX_ANSWERED_EACH_TEAM = 64
-"""Whole answers remembered of one team while anything is suspect, the newest."""
+MAX_COMPLETED_PER_TEAM = 64
+"""The newest complete responses kept per team while any request is suspect."""
 
 
-class AnsweredRequests:
-    """The newest whole answers of each team, so that none pushes out another's."""
+class CompletedRequests:
+    """The newest complete responses, limited per team so none evicts another's."""
 
     def __init__(self) -> None:
-        self._answered: dict[TeamId | None, OrderedDict[Fingerprint, float]] = {}
+        self._completed: dict[TeamId | None, OrderedDict[Fingerprint, float]] = {}
 
-    def note(self, fingerprint: Fingerprint, team: TeamId | None, now: float) -> None:
-        """Take note of a whole answer."""
-        answered = self._answered.setdefault(team, OrderedDict())
-        answered[fingerprint] = now
-        answered.move_to_end(fingerprint)
-        if len(answered) > MAX_ANSWERED_EACH_TEAM:
-            answered.popitem(last=False)
+    def record(self, fingerprint: Fingerprint, team: TeamId | None, now: float) -> None:
+        """Record a complete response."""
+        completed = self._completed.setdefault(team, OrderedDict())
+        completed[fingerprint] = now
+        completed.move_to_end(fingerprint)
+        if len(completed) > MAX_COMPLETED_PER_TEAM:
+            completed.popitem(last=False)
 
     def find(self, fingerprint: Fingerprint, team: TeamId | None) -> float | None:
-        """Return when a request was answered last; None if that is not known."""
-        answered = self._answered.get(team)
-        return None if answered is None else answered.get(fingerprint)
+        """Return when a request completed last; None if that is not known."""
+        completed = self._completed.get(team)
+        return None if completed is None else completed.get(fingerprint)
 
     def clear(self) -> None:
-        """Forget all."""
-        self._answered.clear()
+        """Discard all entries."""
+        self._completed.clear()
--- a/src/rudderpass/quarantine/_cuts.py
+++ b/src/rudderpass/quarantine/_cuts.py
@@ -1,4 +1,4 @@
-"""Sends whose connections were cut, until it is known whether the upstream crashed."""
+"""Sends whose connections were cut, kept until a crash is confirmed or they expire."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from rudderpass.quarantine._records import Crash
 
 CONFIRM_SECONDS = 5.0
-"""An upstream that refuses connections, or whose entry is gone, so long after it cut
-some has crashed. Entries of crashed upstreams lapse after three heartbeats of a second
-or so."""
+"""An upstream that refuses connections, or whose entry is removed, within this time
+after it cut connections has crashed. Entries of crashed upstreams expire after three
+heartbeats of about a second."""
 
 MAX_CUTS = 512
-"""Cut sends remembered; with more at once the oldest say the least."""
+"""Cut sends kept; the oldest are dropped first, as they are the least useful."""
 
 
 @dataclass(frozen=True)
@@ -36,25 +36,25 @@
     def __init__(self) -> None:
         self._cuts: deque[CutSend] = deque(maxlen=MAX_CUTS)
 
-    def note(self, cut: CutSend) -> None:
-        """Take note of a cut send."""
+    def record(self, cut: CutSend) -> None:
+        """Record a cut send."""
         self._cuts.append(cut)
 
-    def take(self, upstream: UpstreamId, now: float) -> list[CutSend]:
-        """Return and forget an upstream's cut sends: it has crashed."""
-        taken = [
+    def pop_crashed(self, upstream: UpstreamId, now: float) -> list[CutSend]:
+        """Remove and return the cut sends of an upstream that has crashed."""
+        removed = [
             cut
             for cut in self._cuts
             if cut.crash.upstream == upstream and now - cut.crash.at <= CONFIRM_SECONDS
         ]
-        self._keep(lambda cut: cut.crash.upstream != upstream)
-        return taken
+        self._retain(lambda cut: cut.crash.upstream != upstream)
+        return removed
 
-    def forget_old(self, now: float) -> None:
-        """Forget what nothing will confirm any more."""
-        self._keep(lambda cut: now - cut.crash.at <= CONFIRM_SECONDS)
+    def evict_expired(self, now: float) -> None:
+        """Evict cut sends that are too old to be confirmed as crashes."""
+        self._retain(lambda cut: now - cut.crash.at <= CONFIRM_SECONDS)
 
-    def _keep(self, wanted: Callable[[CutSend], bool]) -> None:
+    def _retain(self, is_kept: Callable[[CutSend], bool]) -> None:
         if self._cuts:
-            kept = [cut for cut in self._cuts if wanted(cut)]
+            kept = [cut for cut in self._cuts if is_kept(cut)]
             self._cuts = deque(kept, maxlen=MAX_CUTS)
--- a/src/rudderpass/quarantine/_records.py
+++ b/src/rudderpass/quarantine/_records.py
@@ -1,4 +1,4 @@
-"""What is known and told of requests under which upstreams crashed."""
+"""Records and messages about requests under which upstreams crashed."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """An upstream that crashed while a request was under way there.
+    """An upstream that crashed while a request was in flight there.
 
-    :param sent: when the request was first sent there, on the holder's clock; seconds
-        before it was told, where it is news.
+    :param sent: when the request was first sent there, on the local clock; in an update
+        for peers, its age in seconds.
     :param at: when its connection was cut, likewise.
-    :param silent: whether no copy of the request had been answered a byte there.
+    :param silent: whether no copy of the request had received a response byte there.
     """
 
     upstream: UpstreamId
@@ -24,7 +24,7 @@
     silent: bool
 
     def merge(self, other: Crash) -> Crash:
-        """Return what two hosts' sights of one crash say together."""
+        """Return the combination of two hosts' records of one crash."""
         return Crash(
             self.upstream,
             min(self.sent, other.sent),
@@ -34,10 +34,10 @@
 
 
 @dataclass(frozen=True)
-class SuspectNews:
-    """What hosts tell one another of one request. All times are ages in seconds.
+class SuspectUpdate:
+    """A message between hosts about one request. All times are ages in seconds.
 
-    :param served: since a copy of it was last answered whole; None if never.
+    :param served: since a copy of it last completed; None if never.
     :param trial: since a copy of it was sent on trial; None if none is known.
     """
 
@@ -61,8 +61,8 @@
 class Verdict:
     """What may be done with a request now.
 
-    :param crashes: under it that nothing else explains.
-    :param seconds: until that changes: the trial or the quarantine is over.
+    :param crashes: the number under it that no other request explains.
+    :param seconds: until the trial or the quarantine ends.
     """
 
     kind: VerdictKind
@@ -75,13 +75,13 @@
 
 @dataclass(frozen=True)
 class QuarantineChange:
-    """A request was put into quarantine or released.
+    """A request that was quarantined or released.
 
-    :param is_own: whether this host saw one of the crashes itself.
+    :param is_local: whether this host observed one of the crashes itself.
     """
 
     fingerprint: Fingerprint
     team: TeamId | None
     is_quarantined: bool
     upstreams: tuple[UpstreamId, ...] = field(default=())
-    is_own: bool = False
+    is_local: bool = False
--- a/src/rudderpass/quarantine/_suspect.py
+++ b/src/rudderpass/quarantine/_suspect.py
@@ -1,4 +1,4 @@
-"""One request under which upstreams crashed, as one host knows it."""
+"""State of one request under which upstreams crashed."""
 
 from __future__ import annotations
 
@@ -7,71 +7,71 @@
 
 from rudderpass._ids import TeamId, UpstreamId
 from rudderpass.quarantine._attribution import (
-    PROVING_CRASHES,
-    count_causes,
-    needed_crashes,
+    MIN_CRASHES,
+    count_independent_crashes,
+    required_crashes,
 )
 from rudderpass.quarantine._records import Crash
 
 QUARANTINE_SECONDS = 120.0
-DOUBTFUL_QUARANTINE_SECONDS = 30.0
-LONGEST_QUARANTINE_SECONDS = 3600.0
-"""From the last crash on, until one copy may be tried once more: a release may have
-mended the upstreams. The second holds for a request that was being answered at some of
-the crashes, and so may only have run beside the cause. Doubled by each further crash,
-up to the third."""
+RESPONDING_QUARANTINE_SECONDS = 30.0
+MAX_QUARANTINE_SECONDS = 3600.0
+"""Time from the last crash until one copy may be tried again, as a new release may have
+fixed the upstreams. The second applies if a response had begun at some of the crashes,
+since the request may then only have been in flight beside the cause. Each further crash
+doubles the time, up to the third."""
 
-VOUCHED_SECONDS = 60.0
-"""So long after a whole answer that speaks for a request."""
+RECENT_COMPLETION_SECONDS = 60.0
+"""How long a complete response counts as evidence that a request crashes nothing."""
 
 TRIAL_SECONDS = 2.0
-"""How long a copy on trial holds others up. One that has run for so long is not the
-kind that crashes its upstream when it begins."""
+"""How long a copy on trial delays other copies. A request that has run this long is not
+of the kind that crashes its upstream when it starts."""
 
 MAX_CRASHES = 8
-"""Crashes remembered of one request, the newest."""
+"""The newest crashes kept per request."""
 
 NEVER = float("-inf")
 
 
 @dataclass
 class Suspect:
-    """One request. Times are on the holder's clock.
+    """One suspect request. Times are on the local clock.
 
-    :ivar served: when a copy was last answered whole; earlier crashes do not count.
+    :ivar served: when a copy last completed; earlier crashes do not count.
     :ivar trial: when the newest copy was sent on trial.
-    :ivar tells_left: in how many beats it is still to be told.
-    :ivar told: when it was last told.
-    :ivar is_own: whether this host saw one of the crashes.
+    :ivar sends_left: how many more heartbeats carry an update about it.
+    :ivar last_sent: when an update about it was last sent.
+    :ivar is_local: whether this host observed one of the crashes.
     """
 
     team: TeamId | None
     crashes: dict[UpstreamId, Crash] = field(default_factory=dict)
     served: float = NEVER
     trial: float = NEVER
-    tells_left: int = 0
-    told: float = NEVER
-    is_own: bool = False
+    sends_left: int = 0
+    last_sent: float = NEVER
+    is_local: bool = False
 
     @property
-    def is_vouched(self) -> bool:
-        """Whether it was answered whole not long before the first crash."""
+    def was_recently_completed(self) -> bool:
+        """Whether it completed shortly before the first crash."""
         first = min((crash.at for crash in self.crashes.values()), default=NEVER)
-        return first - self.served <= VOUCHED_SECONDS
+        return first - self.served <= RECENT_COMPLETION_SECONDS
 
     @property
     def last_crash(self) -> float:
-        """When the latest crash under it was."""
+        """When the latest crash under it happened."""
         return max((crash.at for crash in self.crashes.values()), default=NEVER)
 
-    def trial_left(self, now: float) -> float:
-        """Return for how long a copy on trial still holds others up; 0 without one."""
+    def trial_remaining(self, now: float) -> float:
+        """Return how long a copy on trial still delays others; 0 without one."""
         if self.trial <= max(self.last_crash, self.served):
             return 0.0
         return max(0.0, self.trial + TRIAL_SECONDS - now)
 
     def add(self, crash: Crash) -> bool:
-        """Take a crash; tell whether it says anything new."""
+        """Add a crash; return whether it is new information."""
         if crash.at <= self.served:
             return False
         known = self.crashes.get(crash.upstream)
@@ -83,32 +83,34 @@
         return known is None or known.silent is not merged.silent
 
     def clear(self, served: float) -> None:
-        """Take a whole answer: crashes before it were not this request's doing."""
+        """Record a complete response: this request did not cause earlier crashes."""
         self.served = served
         self.crashes = {
-            name: crash for name, crash in self.crashes.items() if crash.at > served
+            upstream: crash
+            for upstream, crash in self.crashes.items()
+            if crash.at > served
         }
 
-    def is_grave(self, unexplained: Collection[Crash], count: int) -> bool:
-        """Tell whether its copies are to be tried one at a time.
+    def needs_trial(self, unexplained: Collection[Crash], count: int) -> bool:
+        """Return whether its copies must be tried one at a time.
 
-        :param unexplained: the crashes under it that nothing else explains.
+        :param unexplained: the crashes under it that no other request explains.
         :param count: how many of these are independent of one another.
         """
-        if self.is_vouched:
-            return count >= PROVING_CRASHES
+        if self.was_recently_completed:
+            return count >= MIN_CRASHES
         return count >= 2 or any(crash.silent for crash in unexplained)
 
-    def release(self, count: int) -> float:
-        """Return when one copy may be tried once more, if it is in quarantine."""
+    def release_time(self, count: int) -> float:
+        """Return when one copy may be tried again, if it is quarantined."""
         crashes = self.crashes.values()
-        is_sure = all(crash.silent for crash in crashes)
-        first = QUARANTINE_SECONDS if is_sure else DOUBTFUL_QUARANTINE_SECONDS
-        further = max(0, count - needed_crashes(crashes, self.is_vouched))
-        doubled = first * 2.0**further
-        return self.last_crash + min(doubled, LONGEST_QUARANTINE_SECONDS)
+        is_certain = all(crash.silent for crash in crashes)
+        initial = QUARANTINE_SECONDS if is_certain else RESPONDING_QUARANTINE_SECONDS
+        further = max(0, count - required_crashes(crashes, self.was_recently_completed))
+        doubled = initial * 2.0**further
+        return self.last_crash + min(doubled, MAX_QUARANTINE_SECONDS)
 
     @property
-    def importance(self) -> tuple[int, float]:
-        """What tells which request is forgotten first where there are too many."""
-        return count_causes(self.crashes.values()), self.last_crash
+    def retention_key(self) -> tuple[int, float]:
+        """Sort key for eviction; the lowest is evicted first."""
+        return count_independent_crashes(self.crashes.values()), self.last_crash
--- a/src/rudderpass/quarantine/_tracker.py
+++ b/src/rudderpass/quarantine/_tracker.py
@@ -1,4 +1,4 @@
-"""What one host knows of requests that may crash upstreams, and its verdicts."""
+"""Tracks requests that may crash upstreams, and decides which may be sent."""
 
 from __future__ import annotations
 
@@ -8,65 +8,65 @@
 
 from rudderpass._ids import Fingerprint, TeamId, UpstreamId
 from rudderpass.quarantine._attribution import (
-    count_causes,
+    count_independent_crashes,
     drop_later_sends,
     exclude,
     find_culprits,
 )
-from rudderpass.quarantine._completed import AnsweredRequests
+from rudderpass.quarantine._completed import CompletedRequests
 from rudderpass.quarantine._cuts import CutSend, CutSends
 from rudderpass.quarantine._records import (
     FREE,
     Crash,
     QuarantineChange,
-    SuspectNews,
+    SuspectUpdate,
     Verdict,
     VerdictKind,
 )
 from rudderpass.quarantine._suspect import NEVER, Suspect
 
-SUSPECT_SECONDS = 300.0
-"""How long a crash, or a whole answer that disproves one, is remembered."""
+SUSPECT_RETENTION_SECONDS = 300.0
+"""How long a crash, or a complete response that refutes one, is kept."""
 
-MAX_SUSPECTS_EACH_TEAM = 32
-"""Requests remembered of one team, so that none can push out another team's. Those
-with the fewest crashes go first, then the oldest."""
+MAX_SUSPECTS_PER_TEAM = 32
+"""Requests kept per team, so that no team can evict another team's. Those with the
+fewest crashes are evicted first, then the oldest."""
 
-TELLS = 3
-"""Beats in which a change is told, since datagrams get lost."""
+SENDS_PER_UPDATE = 3
+"""Heartbeats that carry each change, since datagrams get lost."""
 
-MAX_TOLD = 16
-"""Requests told in one beat, some 100 bytes each."""
+MAX_UPDATES_PER_HEARTBEAT = 16
+"""Requests in one heartbeat, about 100 bytes each."""
 
-RETELL_SECONDS = 1.5
-"""How often quarantined requests are told to all, so that a host that was cut off or
-stood still knows them within 3 s of its return."""
+RESEND_SECONDS = 1.5
+"""How often quarantined requests are sent to all peers, so that a host that was
+partitioned or suspended knows them within 3 s of its return."""
 
-SAME_SECONDS = 0.5
-"""Moments of one event as two hosts know them differ by the way of the news. Without
-this margin each would take the other's word for a later event, and tell it on."""
+SAME_EVENT_SECONDS = 0.5
+"""The times of one event on two hosts differ by the delivery delay. Without this margin
+each host would take the other's update for a later event, and forward it."""
 
 
 @dataclass(frozen=True)
-class _Blame:
-    """What all crashes together show.
+class _Attribution:
+    """The attribution of all known crashes.
 
     :param crashes: those that each request may have caused.
-    :param culprits: the requests that crashes are put down to, with how many.
-    :param explained: the upstreams that these crashed.
+    :param culprits: the requests that caused crashes, with the number of crashes.
+    :param explained: the upstreams that the culprits crashed.
     """
 
     crashes: Mapping[Fingerprint, Collection[Crash]]
     culprits: Mapping[Fingerprint, int]
     explained: Collection[UpstreamId]
 
-    def unexplained(self, name: Fingerprint) -> list[Crash]:
+    def unexplained(self, fingerprint: Fingerprint) -> list[Crash]:
         """Return the crashes of a request that no culprit explains."""
-        return exclude(self.crashes.get(name, ()), self.explained)
+        return exclude(self.crashes.get(fingerprint, ()), self.explained)
 
 
-class QuarantineBook:
-    """Knows the requests under which upstreams crashed.
+class QuarantineTracker:
+    """Tracks the requests under which upstreams crashed.
 
     Not thread-safe: the host's lock guards it.
 
@@ -77,268 +77,303 @@
         self._suspects: dict[Fingerprint, Suspect] = {}
         self._cuts = CutSends()
         self._crashed: dict[UpstreamId, float] = {}
-        self._disproved: dict[UpstreamId, float] = {}
-        self._blame: _Blame | None = None
-        self._answered = AnsweredRequests()
+        self._retracted: dict[UpstreamId, float] = {}
+        self._attribution: _Attribution | None = None
+        self._completed = CompletedRequests()
         self._announced: set[Fingerprint] = set()
 
     @property
-    def is_watching(self) -> bool:
-        """Whether any request is suspect, so that fingerprints are worth their cost."""
+    def has_suspects(self) -> bool:
+        """Whether any request is suspect; if not, fingerprints need not be computed."""
         return bool(self._suspects)
 
     @property
     def suspect_count(self) -> int:
-        """How many requests are remembered."""
+        """How many requests are tracked."""
         return len(self._suspects)
 
     @property
     def quarantined(self) -> Collection[Fingerprint]:
-        """The requests that upstreams' crashes are put down to."""
-        return self._find_blame().culprits.keys()
+        """The requests found to crash upstreams."""
+        return self._attribute_crashes().culprits.keys()
 
     def judge(self, fingerprint: Fingerprint, now: float) -> Verdict:
         """Return what may be done with a request now."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.crashes:
             return FREE
-        blame = self._find_blame()
-        count = blame.culprits.get(fingerprint, 0)
+        attribution = self._attribute_crashes()
+        count = attribution.culprits.get(fingerprint, 0)
         if count:
-            left = suspect.release(count) - now
-            if left > 0:
-                return Verdict(VerdictKind.QUARANTINED, count, left)
+            remaining = suspect.release_time(count) - now
+            if remaining > 0:
+                return Verdict(VerdictKind.QUARANTINED, count, remaining)
         else:
-            unexplained = blame.unexplained(fingerprint)
-            count = count_causes(unexplained)
-            if not suspect.is_grave(unexplained, count):
+            unexplained = attribution.unexplained(fingerprint)
+            count = count_independent_crashes(unexplained)
+            if not suspect.needs_trial(unexplained, count):
                 return Verdict(VerdictKind.FREE, count)
-        left = suspect.trial_left(now)
-        if left > 0:
-            return Verdict(VerdictKind.WAIT, count, left)
+        remaining = suspect.trial_remaining(now)
+        if remaining > 0:
+            return Verdict(VerdictKind.WAIT, count, remaining)
         return Verdict(VerdictKind.TRIAL, count)
 
-    def note_cut(self, cut: CutSend, now: float) -> None:
-        """Take note of a send whose connection was cut."""
-        self._cuts.note(cut)
+    def record_cut(self, cut: CutSend, now: float) -> None:
+        """Record a send whose connection was cut."""
+        self._cuts.record(cut)
         if cut.crash.upstream in self._crashed:
-            self.note_crashed(cut.crash.upstream, now)
+            self.record_crash(cut.crash.upstream, now)
 
-    def note_crashed(self, upstream: UpstreamId, now: float) -> list[CutSend]:
-        """Take note that an upstream has crashed; return the sends it was cut under."""
+    def record_crash(self, upstream: UpstreamId, now: float) -> list[CutSend]:
+        """Record the crash of an upstream; return the sends that it cut."""
         self._crashed[upstream] = now
-        cuts = self._cuts.take(upstream, now)
+        cuts = self._cuts.pop_crashed(upstream, now)
         for cut in cuts:
-            suspect = self._suspect(cut.fingerprint, cut.team)
-            suspect.is_own = True
+            suspect = self._get_or_add_suspect(cut.fingerprint, cut.team)
+            suspect.is_local = True
             if suspect.add(cut.crash):
-                self._note_change(suspect)
+                self._record_change(suspect)
         return cuts
 
-    def note_served(
+    def record_completed(
         self, fingerprint: Fingerprint, team: TeamId | None, now: float
     ) -> None:
-        """Take note that a copy of a request was answered whole."""
-        self._answered.note(fingerprint, team, now)
+        """Record that a copy of a request completed."""
+        self._completed.record(fingerprint, team, now)
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
             suspect.clear(now)
-            self._note_change(suspect)
+            self._record_change(suspect)
 
     def begin_trial(self, fingerprint: Fingerprint, now: float) -> None:
-        """Take note that a copy is sent on trial; other copies are to wait."""
+        """Record that a copy is sent on trial; other copies must wait."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.trial = now
-            suspect.tells_left = TELLS
+            suspect.sends_left = SENDS_PER_UPDATE
 
     def end_trial(self, fingerprint: Fingerprint) -> None:
-        """Take note that the trial has shown nothing: its caller left, or the like."""
+        """End a trial without a result, for example because the caller disconnected."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.trial = NEVER
 
     def lift(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Forget all crashes under a request, and have peers do so too.
+        """Discard all crashes under a request, here and on peers.
 
-        Tell whether there were any.
+        Return whether there were any.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.crashes:
             return False
-        self.note_served(fingerprint, suspect.team, now)
+        self.record_completed(fingerprint, suspect.team, now)
         return True
 
-    def disprove(self, upstream: UpstreamId, now: float) -> None:
-        """Take note that an upstream has not crashed: it is there all the same."""
+    def retract_crash(self, upstream: UpstreamId, now: float) -> None:
+        """Discard the crash of an upstream that turned out to be alive."""
         self._crashed.pop(upstream, None)
-        self._disproved[upstream] = now
+        self._retracted[upstream] = now
         for suspect in self._suspects.values():
             suspect.crashes.pop(upstream, None)
-        self._blame = None
+        self._attribution = None
 
-    def note_alive(self, upstream: UpstreamId, sent: float, now: float) -> None:
-        """Take note that an upstream answers what it was sent at a moment."""
+    def record_alive(self, upstream: UpstreamId, sent: float, now: float) -> None:
+        """Record that an upstream responds to a request that was sent at ``sent``."""
         crashed = self._crashed.get(upstream)
         if crashed is not None and sent > crashed:
-            self.disprove(upstream, now)
+            self.retract_crash(upstream, now)
 
     def crashed_before(self, moment: float) -> list[UpstreamId]:
-        """Return the upstreams whose crash was known before a moment."""
-        return [name for name, at in self._crashed.items() if at < moment]
+        """Return the upstreams whose crash was known before a given time."""
+        return [upstream for upstream, at in self._crashed.items() if at < moment]
 
-    def take(self, news: Iterable[SuspectNews], passes_on: bool, now: float) -> None:
-        """Take what a peer tells.
+    def merge(
+        self, updates: Iterable[SuspectUpdate], forwards: bool, now: float
+    ) -> None:
+        """Merge the updates of a peer.
 
-        :param passes_on: whether this host tells others what it hears.
+        :param forwards: whether this host forwards what it receives.
         """
-        for item in news:
-            suspect = self._suspect(item.fingerprint, item.team)
-            if self._merge(suspect, item, now):
-                self._blame = None
-                suspect.tells_left = TELLS if passes_on else suspect.tells_left
-
-    def tell(self, now: float) -> tuple[SuspectNews, ...]:
-        """Return what is to be told in the next beat."""
-        culprits = self._find_blame().culprits
+        for update in updates:
+            suspect = self._get_or_add_suspect(update.fingerprint, update.team)
+            if self._merge(suspect, update, now):
+                self._attribution = None
+                suspect.sends_left = (
+                    SENDS_PER_UPDATE if forwards else suspect.sends_left
+                )
+
+    def due_updates(self, now: float) -> tuple[SuspectUpdate, ...]:
+        """Return the updates for the next heartbeat, and count them as sent."""
+        culprits = self._attribute_crashes().culprits
         due = [
-            (suspect.told, fingerprint, suspect)
+            (suspect.last_sent, fingerprint, suspect)
             for fingerprint, suspect in self._suspects.items()
-            if suspect.tells_left
-            or (fingerprint in culprits and now - suspect.told >= RETELL_SECONDS)
+            if suspect.sends_left
+            or (fingerprint in culprits and now - suspect.last_sent >= RESEND_SECONDS)
         ]
-        told = heapq.nsmallest(MAX_TOLD, due, key=lambda item: item[:2])
-        for _, _, suspect in told:
-            suspect.told = now
-            suspect.tells_left = max(0, suspect.tells_left - 1)
-        return tuple(self._describe(name, suspect, now) for _, name, suspect in told)
+        selected = heapq.nsmallest(
+            MAX_UPDATES_PER_HEARTBEAT, due, key=lambda item: item[:2]
+        )
+        for _, _, suspect in selected:
+            suspect.last_sent = now
+            suspect.sends_left = max(0, suspect.sends_left - 1)
+        return tuple(
+            self._describe(fingerprint, suspect, now)
+            for _, fingerprint, suspect in selected
+        )
 
-    def describe_quarantined(self, now: float) -> tuple[SuspectNews, ...]:
+    def describe_quarantined(self, now: float) -> tuple[SuspectUpdate, ...]:
         """Return the quarantined requests, for a host that may know none of them."""
         newest = heapq.nlargest(
-            MAX_TOLD,
-            self._find_blame().culprits,
-            key=lambda name: self._suspects[name].last_crash,
+            MAX_UPDATES_PER_HEARTBEAT,
+            self._attribute_crashes().culprits,
+            key=lambda fingerprint: self._suspects[fingerprint].last_crash,
+        )
+        return tuple(
+            self._describe(fingerprint, self._suspects[fingerprint], now)
+            for fingerprint in newest
         )
-        return tuple(self._describe(name, self._suspects[name], now) for name in newest)
 
     def tick(self, now: float) -> list[QuarantineChange]:
-        """Forget what is out of date; return who came into quarantine or left it."""
-        self._cuts.forget_old(now)
-        for known in (self._crashed, self._disproved):
+        """Evict expired state; return the requests newly quarantined or released."""
+        self._cuts.evict_expired(now)
+        for known in (self._crashed, self._retracted):
             for upstream in [
-                u for u, at in known.items() if now - at > SUSPECT_SECONDS
+                u for u, at in known.items() if now - at > SUSPECT_RETENTION_SECONDS
             ]:
                 del known[upstream]
         if not self._suspects:
-            self._answered.clear()
-        for name in [n for n, s in self._suspects.items() if self._is_old(n, s, now)]:
-            del self._suspects[name]
-            self._blame = None
-        culprits = self._find_blame().culprits
+            self._completed.clear()
+        for fingerprint in [
+            n for n, s in self._suspects.items() if self._is_expired(n, s, now)
+        ]:
+            del self._suspects[fingerprint]
+            self._attribution = None
+        culprits = self._attribute_crashes().culprits
         changes = [
-            self._change(name, True) for name in culprits.keys() - self._announced
+            self._make_change(fingerprint, True)
+            for fingerprint in culprits.keys() - self._announced
         ]
         changes += [
-            self._change(name, False) for name in self._announced - culprits.keys()
+            self._make_change(fingerprint, False)
+            for fingerprint in self._announced - culprits.keys()
         ]
         self._announced = set(culprits)
         return changes
 
-    def _merge(self, suspect: Suspect, item: SuspectNews, now: float) -> bool:
-        """Take one piece of news; tell whether anything is new."""
-        is_news = False
+    def _merge(self, suspect: Suspect, update: SuspectUpdate, now: float) -> bool:
+        """Merge one update; return whether it changed anything."""
+        is_changed = False
         if (
-            item.served is not None
-            and now - item.served > suspect.served + SAME_SECONDS
+            update.served is not None
+            and now - update.served > suspect.served + SAME_EVENT_SECONDS
         ):
-            suspect.clear(now - item.served)
-            is_news = True
-        for crash in item.crashes:
-            if crash.upstream in self._disproved:
+            suspect.clear(now - update.served)
+            is_changed = True
+        for crash in update.crashes:
+            if crash.upstream in self._retracted:
                 continue
-            heard = Crash(
+            received = Crash(
                 crash.upstream, now - crash.sent, now - crash.at, crash.silent
             )
-            if heard.at + SAME_SECONDS <= suspect.served:
-                suspect.tells_left = max(1, suspect.tells_left)  # The peer missed it.
-            elif suspect.add(heard):
-                is_news = True
-        if item.trial is not None:
-            began = now - item.trial
-            if began > suspect.trial + SAME_SECONDS:
-                suspect.trial = began
-                is_news = True
-        return is_news
-
-    def _suspect(self, fingerprint: Fingerprint, team: TeamId | None) -> Suspect:
+            if received.at + SAME_EVENT_SECONDS <= suspect.served:
+                suspect.sends_left = max(1, suspect.sends_left)  # The peer missed it.
+            elif suspect.add(received):
+                is_changed = True
+        if update.trial is not None:
+            started = now - update.trial
+            if started > suspect.trial + SAME_EVENT_SECONDS:
+                suspect.trial = started
+                is_changed = True
+        return is_changed
+
+    def _get_or_add_suspect(
+        self, fingerprint: Fingerprint, team: TeamId | None
+    ) -> Suspect:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            self._make_room(team)
+            self._evict_least_important(team)
             suspect = self._suspects[fingerprint] = Suspect(team)
-            answered = self._answered.find(fingerprint, team)
-            if answered is not None:
-                suspect.served = answered
-                self._note_change(suspect)
+            completed = self._completed.find(fingerprint, team)
+            if completed is not None:
+                suspect.served = completed
+                self._record_change(suspect)
         return suspect
 
-    def _make_room(self, team: TeamId | None) -> None:
-        """Forget one of a team's requests if there are too many."""
-        teams = [name for name, s in self._suspects.items() if s.team == team]
-        if len(teams) < MAX_SUSPECTS_EACH_TEAM:
+    def _evict_least_important(self, team: TeamId | None) -> None:
+        """Evict one of a team's requests if the limit is reached."""
+        same_team = [
+            fingerprint for fingerprint, s in self._suspects.items() if s.team == team
+        ]
+        if len(same_team) < MAX_SUSPECTS_PER_TEAM:
             return
-        least = min(teams, key=lambda name: self._suspects[name].importance)
+        least = min(
+            same_team, key=lambda fingerprint: self._suspects[fingerprint].retention_key
+        )
         del self._suspects[least]
-        self._blame = None
+        self._attribution = None
 
-    def _note_change(self, suspect: Suspect) -> None:
-        suspect.tells_left = TELLS
-        self._blame = None
+    def _record_change(self, suspect: Suspect) -> None:
+        suspect.sends_left = SENDS_PER_UPDATE
+        self._attribution = None
 
-    def _find_blame(self) -> _Blame:
-        if self._blame is None:
+    def _attribute_crashes(self) -> _Attribution:
+        if self._attribution is None:
             crashes = drop_later_sends(
-                {name: s.crashes.values() for name, s in self._suspects.items()}
+                {
+                    fingerprint: s.crashes.values()
+                    for fingerprint, s in self._suspects.items()
+                }
             )
-            vouched = {n for n, s in self._suspects.items() if s.is_vouched}
-            culprits = find_culprits(crashes, vouched)
-            explained = {c.upstream for name in culprits for c in crashes[name]}
-            self._blame = _Blame(crashes, culprits, explained)
-        return self._blame
-
-    def _is_old(self, name: Fingerprint, suspect: Suspect, now: float) -> bool:
-        count = self._find_blame().culprits.get(name)
+            recently_completed = {
+                n for n, s in self._suspects.items() if s.was_recently_completed
+            }
+            culprits = find_culprits(crashes, recently_completed)
+            explained = {
+                c.upstream for fingerprint in culprits for c in crashes[fingerprint]
+            }
+            self._attribution = _Attribution(crashes, culprits, explained)
+        return self._attribution
+
+    def _is_expired(
+        self, fingerprint: Fingerprint, suspect: Suspect, now: float
+    ) -> bool:
+        count = self._attribute_crashes().culprits.get(fingerprint)
         newest = max(suspect.last_crash, suspect.served, suspect.trial)
         if count is not None:
-            newest = suspect.release(count)
-        return now - newest > SUSPECT_SECONDS
+            newest = suspect.release_time(count)
+        return now - newest > SUSPECT_RETENTION_SECONDS
 
-    def _describe(self, name: Fingerprint, suspect: Suspect, now: float) -> SuspectNews:
-        """Return what peers are told: of others than culprits, what nothing explains.
+    def _describe(
+        self, fingerprint: Fingerprint, suspect: Suspect, now: float
+    ) -> SuspectUpdate:
+        """Return the update for peers; only a culprit's has its explained crashes too.
 
-        A peer that knows less would count the rest against them.
+        A peer that does not know the culprit would count these against the request.
         """
-        blame = self._find_blame()
+        attribution = self._attribute_crashes()
         crashes: Collection[Crash] = suspect.crashes.values()
-        if name not in blame.culprits:
-            crashes = blame.unexplained(name)
-        return SuspectNews(
-            name,
+        if fingerprint not in attribution.culprits:
+            crashes = attribution.unexplained(fingerprint)
+        return SuspectUpdate(
+            fingerprint,
             suspect.team,
             tuple(
                 Crash(crash.upstream, now - crash.sent, now - crash.at, crash.silent)
                 for crash in crashes
             ),
             None if suspect.served == NEVER else now - suspect.served,
-            now - suspect.trial if suspect.trial_left(now) > 0 else None,
+            now - suspect.trial if suspect.trial_remaining(now) > 0 else None,
         )
 
-    def _change(self, name: Fingerprint, is_quarantined: bool) -> QuarantineChange:
-        suspect = self._suspects.get(name, Suspect(None))
+    def _make_change(
+        self, fingerprint: Fingerprint, is_quarantined: bool
+    ) -> QuarantineChange:
+        suspect = self._suspects.get(fingerprint, Suspect(None))
         return QuarantineChange(
-            name,
+            fingerprint,
             suspect.team,
             is_quarantined,
             tuple(sorted(suspect.crashes)),
-            suspect.is_own,
+            suspect.is_local,
         )
--- a/tests/duties/simulation.py
+++ b/tests/duties/simulation.py
@@ -1,4 +1,4 @@
-"""Hosts that hold duties, in virtual time: their log, platform and links may fail."""
+"""Simulates hosts in virtual time; their log, platform and links may fail."""
 
 from __future__ import annotations
 
@@ -12,67 +12,67 @@
 from rudderpass.duties import (
     Action,
     CallResult,
+    ClusterView,
+    DutyCoordinator,
     DutyHolder,
-    DutyKeeper,
     DutyLog,
-    Holding,
-    HoldingRule,
+    HolderElection,
+    LeasePolicy,
     ReadLog,
-    ReportRule,
+    ReportPolicy,
     ScaledService,
     ScaleOrders,
-    ScaleSubject,
+    ScalingGroup,
     SendOrder,
     SendReport,
     SettledUsage,
-    Surroundings,
-    UsageBook,
     UsageCounter,
     UsageReports,
+    UsageTracker,
     WindowClock,
     WriteClaim,
     WriteUsage,
 )
 
 STEP = 0.25
-BEAT_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 LEASE = 3.0
 WINDOW = 5.0
-LATE = 10.0
-RULE = HoldingRule(LEASE, 0.3, is_fenced=True)
+REPORT_DELAY = 10.0
+POLICY = LeasePolicy(LEASE, 0.3, is_fenced=True)
 EPOCH = 1_000_000_000.0
 TEAM = TeamId("crew")
 SERVICE = PoolId("engines")
 ZONE = AvailabilityZone("hall-a")
 TRAITS = ScalingTraits(1, 6, 4.0, {ZONE: 1.0}, 0.2)
-MAX_CALLS_EACH_STEP = 4
+MAX_CALLS_PER_STEP = 4
 REPORTS = "reports"
 
-Subject = ScaleSubject | str
+CallTarget = ScalingGroup | str
 
 
 @dataclass
-class LateAppend:
-    """An append that got no answer and is carried out later, if it still fits."""
+class DelayedAppend:
+    """An append without a response, carried out later if the log has not changed."""
 
     due: float
     end: int
     value: DutyHolder | SettledUsage
 
 
-class LogStand:
-    """The log of the duties, as the platform keeps it."""
+class FakeLog:
+    """In-memory log of the duties."""
 
     def __init__(self) -> None:
         self.records: list[DutyHolder | SettledUsage] = []
-        self.late: list[LateAppend] = []
+        self.delayed: list[DelayedAppend] = []
         self.calls = 0
 
     def read(self) -> DutyLog:
         self.calls += 1
         log = DutyLog(len(self.records))
-        for place, record in enumerate(self.records):
-            token = FencingToken(place + 1)
+        for offset, record in enumerate(self.records):
+            token = FencingToken(offset + 1)
             if isinstance(record, DutyHolder):
                 log = DutyLog(log.end, record, token, log.usage)
             else:
@@ -87,8 +87,8 @@
         return True
 
     def tick(self, now: float) -> None:
-        for append in [a for a in self.late if a.due <= now]:
-            self.late.remove(append)
+        for append in [a for a in self.delayed if a.due <= now]:
+            self.delayed.remove(append)
             if append.end == len(self.records):
                 self.records.append(append.value)
 
@@ -100,153 +100,157 @@
     at: float
     host: NodeId
     token: FencingToken
-    subject: Subject
+    target: CallTarget
     value: tuple[int, dict[TeamId, int]] | int
 
 
 @dataclass
-class PlatformStand:
-    """Checks fences, and remembers what it carried out."""
+class FakePlatform:
+    """Checks fencing tokens, and records the calls that it received and carried out."""
 
-    done: list[Call] = field(default_factory=list)
-    made: list[Call] = field(default_factory=list)
-    late: list[tuple[float, Call]] = field(default_factory=list)
+    completed: list[Call] = field(default_factory=list)
+    received: list[Call] = field(default_factory=list)
+    delayed: list[tuple[float, Call]] = field(default_factory=list)
     has_spot: bool = True
-    counts: dict[Subject, int] = field(default_factory=dict)
-    _seen: dict[Subject, FencingToken] = field(default_factory=dict)
+    counts: dict[CallTarget, int] = field(default_factory=dict)
+    _highest_tokens: dict[CallTarget, FencingToken] = field(default_factory=dict)
 
-    def take(self, call: Call) -> CallResult:
-        self.made.append(call)
+    def receive(self, call: Call) -> CallResult:
+        self.received.append(call)
         return self._carry_out(call)
 
     def tick(self, now: float) -> None:
-        for item in [item for item in self.late if item[0] <= now]:
-            self.late.remove(item)
+        for item in [item for item in self.delayed if item[0] <= now]:
+            self.delayed.remove(item)
             item[1].at = now
             self._carry_out(item[1])
 
     def _carry_out(self, call: Call) -> CallResult:
-        if call.token < self._seen.get(call.subject, 0):
+        if call.token < self._highest_tokens.get(call.target, 0):
             return CallResult.CONFLICT
-        self._seen[call.subject] = call.token
-        if isinstance(call.subject, ScaleSubject):
+        self._highest_tokens[call.target] = call.token
+        if isinstance(call.target, ScalingGroup):
             assert isinstance(call.value, int)
-            grows = call.value > self.counts.get(call.subject, 0)
-            if call.subject.is_spot and grows and not self.has_spot:
+            grows = call.value > self.counts.get(call.target, 0)
+            if call.target.is_spot and grows and not self.has_spot:
                 return CallResult.CONFLICT
-            self.counts[call.subject] = call.value
-        self.done.append(call)
+            self.counts[call.target] = call.value
+        self.completed.append(call)
         return CallResult.DONE
 
 
-class HostStand:
-    """One start of one host."""
+class SimulatedHost:
+    """One instance of a host."""
 
-    def __init__(self, name: NodeId, start: int, now: float, rule: HoldingRule) -> None:
+    def __init__(
+        self, name: NodeId, start: int, now: float, policy: LeasePolicy
+    ) -> None:
         self.name = name
         own = DutyHolder(name, str(start))
         clock = WindowClock(WINDOW, now, EPOCH + now)
         self.counter = UsageCounter(clock, int((EPOCH + now) * 1000) + start)
-        self.book = UsageBook()
+        self.usage_tracker = UsageTracker()
         self.orders = ScaleOrders()
-        self.keeper = DutyKeeper(
+        self.coordinator = DutyCoordinator(
             own,
-            Holding(own, rule, now),
-            UsageReports(ReportRule(LATE), clock, self.book, now),
+            HolderElection(own, policy, now),
+            UsageReports(ReportPolicy(REPORT_DELAY), clock, self.usage_tracker, now),
             self.orders,
         )
         self.is_up = True
-        self.frozen_until = now
-        self.hears_store = True
-        self.hears_platform = True
-        self.hears_peers = True
+        self.suspended_until = now
+        self.reaches_store = True
+        self.reaches_platform = True
+        self.reaches_peers = True
         self.last_heard: float | None = None
         self.pending: Action | None = None
 
-    def runs(self, now: float) -> bool:
-        return self.is_up and now >= self.frozen_until
+    def is_running(self, now: float) -> bool:
+        return self.is_up and now >= self.suspended_until
 
 
-class DutyWorld:
-    """Plays hosts against one log and one platform.
+class DutySimulation:
+    """Simulates hosts with one log and one platform.
 
-    :param loss: share of the calls and datagrams that get no answer.
+    :param loss: share of the calls and datagrams that get no response.
     """
 
     def __init__(
-        self, hosts: int, seed: int = 1, loss: float = 0.0, rule: HoldingRule = RULE
+        self, hosts: int, seed: int = 1, loss: float = 0.0, policy: LeasePolicy = POLICY
     ) -> None:
         self.now = 0.0
-        self.log = LogStand()
-        self.platform = PlatformStand()
+        self.log = FakeLog()
+        self.platform = FakePlatform()
         self.loss = loss
-        self._rule = rule
-        self.begun: dict[int, int] = {}
+        self._policy = policy
+        self.started_requests: dict[int, int] = {}
         self._rng = random.Random(seed)
         self._starts = 0
-        self._next_beat = 0.0
-        self.hosts: dict[NodeId, HostStand] = {}
+        self._next_heartbeat = 0.0
+        self.hosts: dict[NodeId, SimulatedHost] = {}
         for number in range(hosts):
             self.start(NodeId(f"10.0.0.{number + 1}:7000"))
 
     def start(self, name: NodeId) -> None:
-        """Start a host, or start it again: it knows nothing of before."""
+        """Start a host, or restart it without its previous state."""
         self._starts += 1
-        self.hosts[name] = HostStand(name, self._starts, self.now, self._rule)
+        self.hosts[name] = SimulatedHost(name, self._starts, self.now, self._policy)
 
     @property
-    def holders(self) -> list[HostStand]:
-        """The hosts that take themselves for the holder, and run."""
+    def holders(self) -> list[SimulatedHost]:
+        """The running hosts that consider themselves the holder."""
         return [
             host
             for host in self.hosts.values()
-            if host.is_up and host.keeper.token is not None
+            if host.is_up and host.coordinator.token is not None
         ]
 
-    def run(self, seconds: float, each_step: Callable[[], None] | None = None) -> None:
-        """Let time pass."""
+    def run(
+        self, seconds: float, before_step: Callable[[], None] | None = None
+    ) -> None:
+        """Advance the simulation."""
         until = self.now + seconds
         while self.now < until - 1e-9:
-            if each_step is not None:
-                each_step()
+            if before_step is not None:
+                before_step()
             self._step()
 
-    def begin(self, host: HostStand, requests: int) -> None:
-        """Let requests begin to run."""
+    def start_requests(self, host: SimulatedHost, requests: int) -> None:
+        """Start requests on a host."""
         for _ in range(requests):
-            host.counter.note_begun(TEAM, self.now)
+            host.counter.record_started(TEAM, self.now)
         window = int((EPOCH + self.now) // WINDOW)
-        self.begun[window] = self.begun.get(window, 0) + requests
+        self.started_requests[window] = self.started_requests.get(window, 0) + requests
 
-    def find_breaches(self) -> list[str]:
-        """Return which rules of the platform were broken."""
+    def find_violations(self) -> list[str]:
+        """Return the violations of the platform's rules."""
         found = []
         reports: dict[int, dict[TeamId, int]] = {}
-        for call in self.platform.done:
+        for call in self.platform.completed:
             if isinstance(call.value, tuple):
                 window, counts = call.value
                 if reports.setdefault(window, counts) != counts:
                     found.append(f"two sets of counts for window {window}")
-        users: dict[tuple[FencingToken, Subject], NodeId] = {}
-        for call in self.platform.made:
-            key = (call.token, call.subject)
-            if users.setdefault(key, call.host) != call.host:
+        senders: dict[tuple[FencingToken, CallTarget], NodeId] = {}
+        for call in self.platform.received:
+            key = (call.token, call.target)
+            if senders.setdefault(key, call.host) != call.host:
                 found.append(f"token {call.token} sent by two hosts")
-        for subject in {call.subject for call in self.platform.done}:
-            found += self._find_returns(subject)
+        for target in {call.target for call in self.platform.completed}:
+            found += self._find_early_returns(target)
         return found
 
-    def _find_returns(self, subject: Subject) -> list[str]:
-        calls = [call for call in self.platform.done if call.subject == subject]
+    def _find_early_returns(self, target: CallTarget) -> list[str]:
+        calls = [call for call in self.platform.completed if call.target == target]
         found = []
-        for place, call in enumerate(calls):
-            between = False
-            for earlier in reversed(calls[:place]):
+        for index, call in enumerate(calls):
+            was_held_by_other = False
+            for earlier in reversed(calls[:index]):
                 if call.at - earlier.at >= LEASE:
                     break
                 if earlier.host != call.host:
-                    between = True
-                elif between:
+                    was_held_by_other = True
+                elif was_held_by_other:
                     found.append(f"{call.host} held, lost and held within a lease")
                     break
         return found
@@ -255,54 +259,54 @@
         self.now += STEP
         self.log.tick(self.now)
         self.platform.tick(self.now)
-        if self.now >= self._next_beat:
-            self._next_beat = self.now + BEAT_SECONDS
-            self._beat()
+        if self.now >= self._next_heartbeat:
+            self._next_heartbeat = self.now + HEARTBEAT_SECONDS
+            self._send_heartbeats()
         for host in list(self.hosts.values()):
-            if host.runs(self.now):
+            if host.is_running(self.now):
                 self._run_host(host)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for sender in self.hosts.values():
-            if not sender.runs(self.now) or not sender.hears_peers:
+            if not sender.is_running(self.now) or not sender.reaches_peers:
                 continue
-            usage = sender.counter.describe(self.now)
-            sender.book.take(sender.name, usage)
+            usage = sender.counter.snapshot(self.now)
+            sender.usage_tracker.merge(sender.name, usage)
             for host in self.hosts.values():
-                is_deaf = not host.runs(self.now) or not host.hears_peers
-                if host is sender or is_deaf or self._is_lost():
+                is_unreachable = not host.is_running(self.now) or not host.reaches_peers
+                if host is sender or is_unreachable or self._is_lost():
                     continue
                 host.last_heard = self.now
-                news = sender.keeper.news
-                host.keeper.hear(news, False, self.now)
-                host.book.take(sender.name, usage)
-                host.book.forget_before(news.settled_before)
-                host.counter.forget_before(news.settled_before)
-
-    def _around(self, host: HostStand) -> Surroundings:
-        alive = [h.name for h in self.hosts.values() if h.runs(self.now)]
-        place = None
-        if host.hears_store:
+                status = sender.coordinator.status
+                host.coordinator.receive(status, False, self.now)
+                host.usage_tracker.merge(sender.name, usage)
+                host.usage_tracker.discard_before(status.settled_before)
+                host.counter.discard_before(status.settled_before)
+
+    def _view(self, host: SimulatedHost) -> ClusterView:
+        alive = [h.name for h in self.hosts.values() if h.is_running(self.now)]
+        rank = None
+        if host.reaches_store:
             candidates = [
                 h.name
                 for h in self.hosts.values()
-                if h.runs(self.now) and h.hears_store and h.hears_peers
+                if h.is_running(self.now) and h.reaches_store and h.reaches_peers
             ]
-            place = sum(name < host.name for name in candidates)
-        return Surroundings(alive, host.last_heard, place)
+            rank = sum(name < host.name for name in candidates)
+        return ClusterView(alive, host.last_heard, rank)
 
-    def _run_host(self, host: HostStand) -> None:
-        if host.pending is not None:  # Decided before the host stood still.
+    def _run_host(self, host: SimulatedHost) -> None:
+        if host.pending is not None:  # Decided before the host was suspended.
             action, host.pending = host.pending, None
             self._perform(action, host)
-        around = self._around(host)
-        host.keeper.look(around, self.now)
-        host.orders.look([ScaledService(SERVICE, TRAITS, [])], self.now)
-        for _ in range(MAX_CALLS_EACH_STEP):
-            next_action = host.keeper.next_action(around, self.now)
+        view = self._view(host)
+        host.coordinator.tick(view, self.now)
+        host.orders.update([ScaledService(SERVICE, TRAITS, [])], self.now)
+        for _ in range(MAX_CALLS_PER_STEP):
+            next_action = host.coordinator.next_action(view, self.now)
             if next_action is None:
                 return
-            if not host.runs(self.now):
+            if not host.is_running(self.now):
                 host.pending = next_action
                 return
             self._perform(next_action, host)
@@ -311,76 +315,78 @@
         return self._rng.random() < self.loss
 
     @singledispatchmethod
-    def _perform(self, action: Action, host: HostStand) -> None:
+    def _perform(self, action: Action, host: SimulatedHost) -> None:
         raise TypeError(action)
 
     @_perform.register
-    def _(self, action: ReadLog, host: HostStand) -> None:
-        if not host.hears_store or self._is_lost():
-            host.keeper.note_log_failed(False, self.now)
+    def _(self, action: ReadLog, host: SimulatedHost) -> None:
+        if not host.reaches_store or self._is_lost():
+            host.coordinator.record_log_failure(False, self.now)
             return
-        host.keeper.note_log(self.log.read(), self.now)
+        host.coordinator.record_log(self.log.read(), self.now)
 
     @_perform.register
-    def _(self, action: WriteClaim, host: HostStand) -> None:
+    def _(self, action: WriteClaim, host: SimulatedHost) -> None:
         if self._append(action.end, action.holder, host):
-            host.keeper.note_claimed(action, self.now)
+            host.coordinator.record_claim(action, self.now)
 
     @_perform.register
-    def _(self, action: WriteUsage, host: HostStand) -> None:
+    def _(self, action: WriteUsage, host: SimulatedHost) -> None:
         if self._append(action.end, action.usage, host):
-            host.keeper.note_usage_written(action)
+            host.coordinator.record_usage_written(action)
 
     def _append(
-        self, end: int, value: DutyHolder | SettledUsage, host: HostStand
+        self, end: int, value: DutyHolder | SettledUsage, host: SimulatedHost
     ) -> bool:
-        if not host.hears_store or self._is_lost():
-            if host.hears_store:
-                self._leave_unanswered(end, value)
-            host.keeper.note_log_failed(False, self.now)
+        if not host.reaches_store or self._is_lost():
+            if host.reaches_store:
+                self._append_without_response(end, value)
+            host.coordinator.record_log_failure(False, self.now)
             return False
         if not self.log.append(end, value):
-            host.keeper.note_log_failed(True, self.now)
+            host.coordinator.record_log_failure(True, self.now)
             return False
         return True
 
-    def _leave_unanswered(self, end: int, value: DutyHolder | SettledUsage) -> None:
-        """Not done, done at once, or done seconds later; the caller is not told."""
+    def _append_without_response(
+        self, end: int, value: DutyHolder | SettledUsage
+    ) -> None:
+        """Drop the append, or carry it out now or seconds later, without a response."""
         chance = self._rng.random()
         if chance < 0.3:
             self.log.append(end, value)
         elif chance < 0.7:
             due = self.now + self._rng.uniform(1.0, 6.0)
-            self.log.late.append(LateAppend(due, end, value))
+            self.log.delayed.append(DelayedAppend(due, end, value))
 
     @_perform.register
-    def _(self, action: SendReport, host: HostStand) -> None:
+    def _(self, action: SendReport, host: SimulatedHost) -> None:
         value = (action.usage.window, dict(action.usage.counts))
         result = self._call(host, action.token, REPORTS, value)
-        host.keeper.note_report(action, result, self.now)
+        host.coordinator.record_report_result(action, result, self.now)
 
     @_perform.register
-    def _(self, action: SendOrder, host: HostStand) -> None:
-        result = self._call(host, action.token, action.subject, action.count)
-        host.keeper.note_order(action, result, self.now)
+    def _(self, action: SendOrder, host: SimulatedHost) -> None:
+        result = self._call(host, action.token, action.group, action.count)
+        host.coordinator.record_order_result(action, result, self.now)
 
     def _call(
         self,
-        host: HostStand,
+        host: SimulatedHost,
         token: FencingToken,
-        subject: Subject,
+        target: CallTarget,
         value: tuple[int, dict[TeamId, int]] | int,
     ) -> CallResult:
-        if not host.hears_platform:
+        if not host.reaches_platform:
             return CallResult.UNKNOWN
-        call = Call(self.now, host.name, token, subject, value)
+        call = Call(self.now, host.name, token, target, value)
         if not self._is_lost():
-            return self.platform.take(call)
+            return self.platform.receive(call)
         chance = self._rng.random()
         if chance < 0.3:
-            self.platform.take(call)
+            self.platform.receive(call)
         elif chance < 0.8:
-            self.platform.made.append(call)
+            self.platform.received.append(call)
             due = self.now + self._rng.uniform(2.0, 12.0)
-            self.platform.late.append((due, call))
+            self.platform.delayed.append((due, call))
         return CallResult.UNKNOWN
--- a/tests/duties/test_scaling.py
+++ b/tests/duties/test_scaling.py
@@ -1,4 +1,4 @@
-"""Which numbers of upstreams are ordered, and on the way to them what is given back."""
+"""Tests of the numbers of upstreams that are ordered and released."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from rudderpass._ids import AvailabilityZone, PoolId, UpstreamId, UpstreamName
 from rudderpass.directory import RegisteredUpstream, ScalingTraits
-from rudderpass.duties import CallResult, ScaledService, ScaleOrders, ScaleSubject
-from rudderpass.duties._scaling import PEAK_SECONDS, STEADY_SECONDS
+from rudderpass.duties import CallResult, ScaledService, ScaleOrders, ScalingGroup
+from rudderpass.duties._scaling import PEAK_WINDOW_SECONDS, STABLE_SECONDS
 
 SERVICE = PoolId("engines")
 ZONES = [AvailabilityZone(f"hall-{letter}") for letter in "abc"]
 TRAITS = ScalingTraits(1, 30, 4.0, dict.fromkeys(ZONES, 1.0), 0.18)
-DEAR = replace(TRAITS, spot_price=0.9)
-LONG = PEAK_SECONDS + 60.0
+EXPENSIVE_SPOT = replace(TRAITS, spot_price=0.9)
+AFTER_PEAK_WINDOW = PEAK_WINDOW_SECONDS + 60.0
 STEP = 0.25
 
 
@@ -29,70 +29,70 @@
 
 
 class Fleet:
-    """Upstreams that come as ordered, a while later."""
+    """Simulated upstreams that start some time after they are ordered."""
 
-    def __init__(self, traits: ScalingTraits, each: int) -> None:
+    def __init__(self, traits: ScalingTraits, per_zone: int) -> None:
         self.traits = traits
         self.now = 0.0
         self.busy = 0.0
-        self.dry: set[AvailabilityZone] = set()
+        self.spot_unavailable: set[AvailabilityZone] = set()
         self.orders = ScaleOrders()
-        self.log: list[tuple[float, ScaleSubject, int]] = []
-        self.here = {ScaleSubject(SERVICE, zone, False): each for zone in ZONES}
-        self._due: list[tuple[float, ScaleSubject, int]] = []
+        self.log: list[tuple[float, ScalingGroup, int]] = []
+        self.present = {ScalingGroup(SERVICE, zone, False): per_zone for zone in ZONES}
+        self._due: list[tuple[float, ScalingGroup, int]] = []
 
     def count(self, is_spot: bool) -> int:
-        return sum(n for s, n in self.here.items() if s.is_spot is is_spot)
+        return sum(n for group, n in self.present.items() if group.is_spot is is_spot)
 
     def lose_spot(self, zone: AvailabilityZone) -> None:
-        self.here[ScaleSubject(SERVICE, zone, True)] = 0
-        self.dry.add(zone)
+        self.present[ScalingGroup(SERVICE, zone, True)] = 0
+        self.spot_unavailable.add(zone)
 
     def run(self, seconds: float, step: float = STEP) -> int:
-        """Let time pass; return the fewest upstreams there were."""
-        least = sum(self.here.values())
+        """Advance time; return the smallest number of upstreams present."""
+        least = sum(self.present.values())
         until = self.now + seconds
         while self.now < until:
             self.now += step
-            self._come()
-            self.orders.look([self._survey()], self.now)
+            self._start_due_upstreams()
+            self.orders.update([self._describe_service()], self.now)
             while (order := self.orders.find_order(self.now)) is not None:
-                self._take(*order)
-            least = min(least, sum(self.here.values()))
+                self._execute_order(*order)
+            least = min(least, sum(self.present.values()))
         return least
 
-    def _survey(self) -> ScaledService:
+    def _describe_service(self) -> ScaledService:
         listed = [
-            entry(number, subject.zone, subject.is_spot)
-            for subject, count in self.here.items()
+            entry(number, group.zone, group.is_spot)
+            for group, count in self.present.items()
             for number in range(count)
         ]
         return ScaledService(SERVICE, self.traits, listed, self.busy)
 
-    def _take(self, subject: ScaleSubject, count: int) -> None:
-        self.log.append((self.now, subject, count))
-        here = self.here.get(subject, 0)
-        if subject.is_spot and subject.zone in self.dry and count > here:
+    def _execute_order(self, group: ScalingGroup, count: int) -> None:
+        self.log.append((self.now, group, count))
+        present = self.present.get(group, 0)
+        if group.is_spot and group.zone in self.spot_unavailable and count > present:
             result = CallResult.CONFLICT
         else:
             result = CallResult.DONE
-            if count > here:
-                self._due.append((self.now + self.traits.boot, subject, count))
+            if count > present:
+                self._due.append((self.now + self.traits.boot, group, count))
             else:
-                self.here[subject] = count
-        self.orders.note_sent(subject, count, result, self.now)
+                self.present[group] = count
+        self.orders.record_result(group, count, result, self.now)
 
-    def _come(self) -> None:
+    def _start_due_upstreams(self) -> None:
         for item in [item for item in self._due if item[0] <= self.now]:
             self._due.remove(item)
-            self.here[item[1]] = item[2]
+            self.present[item[1]] = item[2]
         for zone in ZONES:
-            both = sum(n for s, n in self.here.items() if s.zone == zone)
+            both = sum(n for group, n in self.present.items() if group.zone == zone)
             assert both <= self.traits.most
 
 
-def test_cheap_ones_replace_the_others_and_no_zone_runs_short() -> None:
-    fleet = Fleet(TRAITS, each=15)
+def test_spot_replaces_on_demand_without_a_capacity_gap() -> None:
+    fleet = Fleet(TRAITS, per_zone=15)
     least = fleet.run(40.0)
     assert least >= 45
     assert fleet.count(is_spot=False) == len(ZONES)
@@ -100,44 +100,44 @@
 
 
 def test_a_full_zone_is_replaced_in_steps() -> None:
-    fleet = Fleet(TRAITS, each=30)
+    fleet = Fleet(TRAITS, per_zone=30)
     assert fleet.run(120.0) >= 0.9 * 90
     assert fleet.count(is_spot=False) == len(ZONES)
 
 
-def test_nothing_is_ordered_while_all_is_as_wanted() -> None:
-    fleet = Fleet(TRAITS, each=15)
+def test_nothing_is_ordered_at_the_wanted_numbers() -> None:
+    fleet = Fleet(TRAITS, per_zone=15)
     fleet.run(60.0)
     orders = len(fleet.log)
     fleet.run(200.0)
     assert len(fleet.log) == orders
 
 
-def test_those_that_are_taken_away_come_back_when_they_can_be_had() -> None:
-    fleet = Fleet(TRAITS, each=15)
+def test_reclaimed_spot_upstreams_are_ordered_again_when_available() -> None:
+    fleet = Fleet(TRAITS, per_zone=15)
     fleet.run(60.0)
     fleet.lose_spot(ZONES[0])
     tried = len(fleet.log)
     fleet.run(10.0)
     assert fleet.count(is_spot=True) == 58
-    assert len(fleet.log) - tried <= 11, "one try a second"
-    fleet.dry.clear()
+    assert len(fleet.log) - tried <= 11, "one attempt per second"
+    fleet.spot_unavailable.clear()
     fleet.run(8.0)
     assert fleet.count(is_spot=True) == 87
 
 
-def test_upstreams_are_given_back_once_the_largest_work_is_known() -> None:
-    fleet = Fleet(TRAITS, each=15)
+def test_upstreams_are_released_once_the_peak_load_is_known() -> None:
+    fleet = Fleet(TRAITS, per_zone=15)
     fleet.busy = 4.0
-    fleet.run(PEAK_SECONDS - 60.0, step=1.0)
+    fleet.run(PEAK_WINDOW_SECONDS - 60.0, step=1.0)
     assert fleet.count(is_spot=True) == 87
     fleet.run(120.0, step=1.0)
-    assert 14 <= fleet.count(is_spot=True) <= 24, "4 / 0.3 serve, with one zone gone"
+    assert 14 <= fleet.count(is_spot=True) <= 24, "4 / 0.3 remain with one zone lost"
 
 
-def test_waves_of_work_order_nothing_and_a_burst_is_remembered() -> None:
-    fleet = Fleet(TRAITS, each=15)
-    fleet.run(LONG, step=1.0)
+def test_load_below_the_peak_changes_no_orders() -> None:
+    fleet = Fleet(TRAITS, per_zone=15)
+    fleet.run(AFTER_PEAK_WINDOW, step=1.0)
     fleet.busy = 8.0
     fleet.run(10.0)
     held = fleet.count(is_spot=True)
@@ -150,8 +150,8 @@
     assert fleet.count(is_spot=True) == held
 
 
-def test_where_the_cheap_ones_are_dear_the_others_follow_the_work() -> None:
-    fleet = Fleet(DEAR, each=15)
+def test_with_expensive_spot_on_demand_follows_the_load() -> None:
+    fleet = Fleet(EXPENSIVE_SPOT, per_zone=15)
     fleet.run(60.0, step=1.0)
     assert fleet.log == []
     fleet.busy = 20.0
@@ -160,13 +160,13 @@
     assert fleet.count(is_spot=True) == 0
 
 
-def test_those_that_crash_are_not_given_back() -> None:
-    fleet = Fleet(DEAR, each=15)
+def test_crashed_upstreams_are_not_released() -> None:
+    fleet = Fleet(EXPENSIVE_SPOT, per_zone=15)
     fleet.busy = 20.0
     fleet.run(20.0)
     ordered = fleet.count(is_spot=False)
-    for subject in list(fleet.here):
-        fleet.here[subject] -= 5
+    for group in list(fleet.present):
+        fleet.present[group] -= 5
     fleet.log.clear()
     fleet.busy = 0.0
     fleet.run(30.0)
@@ -174,52 +174,52 @@
     assert fleet.count(is_spot=False) == ordered
 
 
-def test_a_list_that_still_grows_is_waited_for() -> None:
+def test_orders_wait_for_a_growing_list() -> None:
     """Upstreams that start with the deployment register one by one."""
     orders = ScaleOrders()
     now, made = 0.0, []
     for step in range(40):
         now = step * STEP
         few = [entry(n, z, False) for z in ZONES for n in range(min(15, 3 + step))]
-        orders.look([ScaledService(SERVICE, TRAITS, few)], now)
+        orders.update([ScaledService(SERVICE, TRAITS, few)], now)
         while (order := orders.find_order(now)) is not None:
             made.append(order)
-            orders.note_sent(*order, CallResult.DONE, now)
-    assert made[:3] == [(ScaleSubject(SERVICE, zone, True), 15) for zone in ZONES]
-    assert all(subject.is_spot for subject, _ in made), "nothing is given back"
+            orders.record_result(*order, CallResult.DONE, now)
+    assert made[:3] == [(ScalingGroup(SERVICE, zone, True), 15) for zone in ZONES]
+    assert all(group.is_spot for group, _ in made), "nothing is released"
 
 
-def test_a_list_that_never_rests_is_not_waited_for_for_ever() -> None:
+def test_orders_do_not_wait_forever_for_a_changing_list() -> None:
     orders = ScaleOrders()
     for step in range(20):
-        here = [entry(0, ZONES[0], False)] * (1 + step % 2)
-        orders.look([ScaledService(SERVICE, TRAITS, here)], step * STEP)
+        present = [entry(0, ZONES[0], False)] * (1 + step % 2)
+        orders.update([ScaledService(SERVICE, TRAITS, present)], step * STEP)
     assert orders.find_order(20 * STEP) is not None
 
 
-def test_each_cheap_one_that_serves_replaces_another() -> None:
-    fleet = Fleet(TRAITS, each=15)
-    least = fleet.run(STEADY_SECONDS + 2 * TRAITS.boot + 1.5)
+def test_each_ready_spot_upstream_replaces_an_on_demand_one() -> None:
+    fleet = Fleet(TRAITS, per_zone=15)
+    least = fleet.run(STABLE_SECONDS + 2 * TRAITS.boot + 1.5)
     assert least >= 45
     assert fleet.count(is_spot=False) == len(ZONES)
     assert fleet.count(is_spot=True) == 29 * len(ZONES)
 
 
 @pytest.mark.parametrize("result", [CallResult.REFUSED, CallResult.UNKNOWN])
-def test_an_order_that_was_not_carried_out_is_made_again(result: CallResult) -> None:
+def test_an_order_that_was_not_carried_out_is_repeated(result: CallResult) -> None:
     orders = ScaleOrders()
-    for now in (0.0, STEADY_SECONDS):
-        orders.look([ScaledService(SERVICE, TRAITS, [])], now)
-    first = orders.find_order(STEADY_SECONDS)
+    for now in (0.0, STABLE_SECONDS):
+        orders.update([ScaledService(SERVICE, TRAITS, [])], now)
+    first = orders.find_order(STABLE_SECONDS)
     assert first is not None
-    orders.note_sent(*first, result, STEADY_SECONDS)
-    assert orders.find_order(STEADY_SECONDS + 0.5) != first
-    assert orders.find_order(STEADY_SECONDS + 1.0) == first
+    orders.record_result(*first, result, STABLE_SECONDS)
+    assert orders.find_order(STABLE_SECONDS + 0.5) != first
+    assert orders.find_order(STABLE_SECONDS + 1.0) == first
 
 
-def test_bounds_that_leave_no_room_are_kept() -> None:
+def test_equal_bounds_are_respected() -> None:
     tight = replace(TRAITS, least=2, most=2)
-    fleet = Fleet(tight, each=2)
+    fleet = Fleet(tight, per_zone=2)
     fleet.busy = 50.0
     fleet.run(60.0)
     assert fleet.count(False) + fleet.count(True) == 2 * len(ZONES)
--- a/tests/duties/test_windows.py
+++ b/tests/duties/test_windows.py
@@ -1,4 +1,4 @@
-"""Windows of true time, whatever a host's time of day does."""
+"""Tests of time windows under changes of the wall clock."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
     assert clock.window_at(100.0) == int(WALL // 5)
     assert clock.window_at(103.99) == int(WALL // 5)
     assert clock.window_at(104.0) == int(WALL // 5) + 1
-    assert clock.begin_of(int(WALL // 5) + 1) == pytest.approx(104.0)
+    assert clock.window_start(int(WALL // 5) + 1) == pytest.approx(104.0)
 
 
 @pytest.mark.parametrize("jump", [-2.0, 2.0, 3600.0])
-def test_a_jump_of_the_time_of_day_is_passed_over(
+def test_a_short_jump_of_the_wall_clock_is_ignored(
     clock: WindowClock, jump: float
 ) -> None:
     for second in range(1, 120):
-        clock.look(100.0 + second, WALL + second + jump)
+        clock.adjust(100.0 + second, WALL + second + jump)
     assert clock.window_at(103.99) == int(WALL // 5)
     for second in range(120, 130):
-        clock.look(100.0 + second, WALL + second)
+        clock.adjust(100.0 + second, WALL + second)
     assert clock.window_at(103.99) == int(WALL // 5)
 
 
-def test_a_clock_that_is_set_right_slowly_is_followed(clock: WindowClock) -> None:
+def test_a_slewed_clock_is_followed(clock: WindowClock) -> None:
     for second in range(1, 101):
-        clock.look(100.0 + second, WALL + second * 1.01)
-    assert clock.begin_of(int(WALL // 5) + 1) == pytest.approx(103.0)
+        clock.adjust(100.0 + second, WALL + second * 1.01)
+    assert clock.window_start(int(WALL // 5) + 1) == pytest.approx(103.0)
 
 
-def test_a_jump_that_lasts_is_believed_in_the_end(clock: WindowClock) -> None:
+def test_a_lasting_jump_is_accepted(clock: WindowClock) -> None:
     for second in range(1, 700):
-        clock.look(100.0 + second, WALL + second + 30.0)
+        clock.adjust(100.0 + second, WALL + second + 30.0)
     assert clock.window_at(100.0) == int((WALL + 30.0) // 5)
--- a/tests/exchange/test_crash_check.py
+++ b/tests/exchange/test_crash_check.py
@@ -23,7 +23,7 @@
     make_request,
 )
 from tests.listener import Listener
-from tests.quarantine.builders import BAD, crash, see_crash
+from tests.quarantine.builders import BAD, crash, record_crash
 
 
 @pytest.fixture
@@ -100,14 +100,14 @@
 @pytest.mark.parametrize("age", [0.0, DISPROOF_SECONDS - 0.1])
 def test_a_crash_is_believed_at_first(age: float) -> None:
     core = make_core(make_route())
-    see_crash(core.quarantine, BAD, crash("u1", 0.0))
+    record_crash(core.quarantine, BAD, crash("u1", 0.0))
     core.tick(age)
     assert core.quarantine.judge(BAD, age).crashes == 1
 
 
 def test_an_upstream_that_goes_on_to_be_listed_has_not_crashed() -> None:
     core = make_core(make_route())
-    see_crash(core.quarantine, BAD, crash("u1", 0.0))
+    record_crash(core.quarantine, BAD, crash("u1", 0.0))
     core.directory.take_upstreams([], 3, "store", DISPROOF_SECONDS)
     core.tick(DISPROOF_SECONDS + 0.1)
     assert core.quarantine.judge(BAD, 10.1).crashes == 0
@@ -115,7 +115,7 @@
 
 def test_an_old_list_disproves_nothing() -> None:
     core = make_core(make_route())
-    see_crash(core.quarantine, BAD, crash("u1", 0.0))
+    record_crash(core.quarantine, BAD, crash("u1", 0.0))
     core.tick(DISPROOF_SECONDS + 0.1)
     assert core.quarantine.judge(BAD, 10.1).crashes == 1
 
--- a/tests/exchange/test_poison.py
+++ b/tests/exchange/test_poison.py
@@ -82,7 +82,7 @@
     world = make_world(make_route(), *[reset] * 3)
     statuses = {world.ask(f"r{number}", FATAL).status for number in range(8)}
     assert statuses == {502}, "it may have run, and is never held back"
-    assert not world.core.quarantine.is_watching
+    assert not world.core.quarantine.has_suspects
 
 
 def test_a_whole_answer_clears_a_request(make_world: MakeWorld) -> None:
@@ -126,7 +126,7 @@
 
     world.upstreams[0].behaviour = leave_and_crash
     assert world.ask("r1", FATAL).status == 200, "the other one runs it"
-    assert not world.core.quarantine.is_watching
+    assert not world.core.quarantine.has_suspects
 
 
 def test_others_wait_while_one_copy_of_a_suspect_is_on_trial(
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -14,7 +14,13 @@
     TeamId,
     UpstreamId,
 )
-from rudderpass.duties import DutyHolder, DutyNews, HostUsage, SettledUsage, WindowUsage
+from rudderpass.duties import (
+    DutyHolder,
+    DutyStatus,
+    HostUsage,
+    SettledUsage,
+    WindowUsage,
+)
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, Reading
 from rudderpass.gossip import (
@@ -103,10 +109,10 @@
 
 
 def test_a_beat_brings_the_duties_and_the_counts() -> None:
-    duty = DutyNews(FencingToken(7), True, 355_975_689)
+    duty = DutyStatus(FencingToken(7), True, 355_975_689)
     sent = replace(beat(Load(1, 0, 0.0)), duty=duty, usage=USAGE)
     assert decode_beat(encode_beat(sent), SENDER) == sent
-    silent = replace(sent, duty=DutyNews(FencingToken(0)), usage=None)
+    silent = replace(sent, duty=DutyStatus(FencingToken(0)), usage=None)
     assert decode_beat(encode_beat(silent), SENDER) == silent
 
 
--- a/tests/gossip/test_mesh.py
+++ b/tests/gossip/test_mesh.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from rudderpass._ids import FencingToken, NodeId
-from rudderpass.duties import DutyNews
+from rudderpass.duties import DutyStatus
 from rudderpass.gossip import Beat, Mesh
 
 OWN = NodeId("10.0.0.1:1")
@@ -119,7 +119,7 @@
     for second in range(8):
         # The first hears the store every 2.5 s, and says so for a part of them.
         hears_now = second in (0, 2)
-        told = DutyNews(FencingToken(1))
+        told = DutyStatus(FencingToken(1))
         for peer in (hears, deaf, holder, stopping):
             news = replace(told, holds=peer == holder)
             mesh.take_beat(
--- a/tests/gossip/test_mutated.py
+++ b/tests/gossip/test_mutated.py
@@ -28,7 +28,7 @@
 from tests.directory.builders import ZONE, make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
 from tests.fuzz import make_settings
-from tests.quarantine.builders import BAD, GOOD, crash, news_of
+from tests.quarantine.builders import BAD, GOOD, crash, make_update
 
 OWN = NodeId("10.0.0.9:1")
 SENDER = NodeId("10.0.0.2:1")
@@ -56,7 +56,10 @@
             {PoolId("engines"): Reading(9000.0, 1000.0)},
         ),
         rate_limits=(RateLimitNews(UPSTREAM, 1.5, 0.25),),
-        suspects=(news_of(BAD, crash("u1", 2.0), crash("u2", 1.0)), news_of(GOOD)),
+        suspects=(
+            make_update(BAD, crash("u1", 2.0), crash("u2", 1.0)),
+            make_update(GOOD),
+        ),
     )
 )
 STATE = encode_state(
--- a/tests/gossip/test_suspects.py
+++ b/tests/gossip/test_suspects.py
@@ -13,19 +13,19 @@
     encode_beat,
     encode_host_record,
 )
-from rudderpass.quarantine import SuspectNews
+from rudderpass.quarantine import SuspectUpdate
 from tests.quarantine.builders import BAD, GOOD, TEAM, crash
 
 ZONE = AvailabilityZone("hall-a")
 NEWS = (
-    SuspectNews(
+    SuspectUpdate(
         BAD,
         TEAM,
         (crash("u1", 1.25, sent=1.5), crash("u2", 0.5, sent=0.75, silent=False)),
         served=4.0,
         trial=0.125,
     ),
-    SuspectNews(GOOD, None, (crash("u1", 1.25, sent=2.0),)),
+    SuspectUpdate(GOOD, None, (crash("u1", 1.25, sent=2.0),)),
 )
 
 
--- a/tests/host/test_duties.py
+++ b/tests/host/test_duties.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rudderpass.duties import HoldingRule
+from rudderpass.duties import LeasePolicy
 from rudderpass.host import DutySettings, ExchangeHost, OrderMode
 from tests.host.test_host import Deployment, read_gauge, wait_for
 from tests.platform.cloud import CloudStand
@@ -35,7 +35,7 @@
     asked: int = 0
 
     def __post_init__(self) -> None:
-        rule = HoldingRule(lease=3.0, thaw_slack=0.3, is_fenced=True)
+        rule = LeasePolicy(lease=3.0, thaw_slack=0.3, is_fenced=True)
         self.settings = DutySettings(
             self.cloud.address, True, False, rule, WINDOW, LATE
         )
--- a/tests/host/test_duty_access.py
+++ b/tests/host/test_duty_access.py
@@ -8,13 +8,13 @@
     UNREADABLE_USAGE,
     DutyHolder,
     SettledUsage,
-    UsageBook,
     UsageCounter,
     UsageReports,
+    UsageTracker,
     WindowClock,
     WindowUsage,
 )
-from rudderpass.duties._reports import ReportRule
+from rudderpass.duties._reports import ReportPolicy
 from rudderpass.gossip import encode_duty_holder, encode_settled_usage
 from rudderpass.host._duty_access import HOLDER_KEY, USAGE_KEY, read_duty_log
 
@@ -46,15 +46,15 @@
     log = read_duty_log(page(encode_duty_holder(HOLDER), b"\xff\xff"))
     assert log.holder == HOLDER
     assert log.usage == UNREADABLE_USAGE
-    clock, book = WindowClock(5.0, 0.0, 0.0), UsageBook()
+    clock, book = WindowClock(5.0, 0.0, 0.0), UsageTracker()
     counter = UsageCounter(clock, 0)
     for moment in (1.0, 6.0, 11.0):
-        counter.note_begun(TeamId("crew"), moment)
-    book.take(HOLDER.host, counter.describe(7.0))
-    reports = UsageReports(ReportRule(10.0), clock, book, 0.0)
+        counter.record_started(TeamId("crew"), moment)
+    book.merge(HOLDER.host, counter.snapshot(7.0))
+    reports = UsageReports(ReportPolicy(10.0), clock, book, 0.0)
     reports.begin(log.usage, 7.0)
     assert reports.find_settlement([HOLDER.host], 9.0) is None
-    book.take(HOLDER.host, counter.describe(16.5))
+    book.merge(HOLDER.host, counter.snapshot(16.5))
     settled = reports.find_settlement([HOLDER.host], 16.5)
     assert settled is not None
     assert [usage.window for usage in settled.windows] == [2]
--- a/tests/host/test_quarantine.py
+++ b/tests/host/test_quarantine.py
@@ -17,7 +17,7 @@
 from rudderpass.platform import HOSTS_TOPIC
 from tests.exchange.test_serve import wait_for
 from tests.host.test_host import Deployment, deployment, get, read_gauge
-from tests.quarantine.builders import BAD, TEAM, crash, see_crash
+from tests.quarantine.builders import BAD, TEAM, crash, record_crash
 
 __all__ = ["deployment"]
 
@@ -28,7 +28,7 @@
     with host._guard:
         for number in range(3):
             seen = crash(f"u{number}", now - 3 + number)
-            see_crash(host._core.quarantine, BAD, seen)
+            record_crash(host._core.quarantine, BAD, seen)
     host._peers.tell_soon()
 
 
--- a/tests/host/test_quarantine_news.py
+++ b/tests/host/test_quarantine_news.py
@@ -6,7 +6,7 @@
 
 from rudderpass.quarantine import VerdictKind
 from tests.host.fleet import Fleet, FleetHost
-from tests.quarantine.builders import BAD, crash, see_crash
+from tests.quarantine.builders import BAD, crash, record_crash
 
 KNOWN_SECONDS = 3.0
 """The users' bound from the third crash on."""
@@ -24,7 +24,7 @@
 def crash_upstreams(fleet: Fleet) -> None:
     """Let three hosts see one crash each, half a second apart."""
     for number, host in enumerate(fleet.up()[:3]):
-        see_crash(host.core.quarantine, BAD, crash(f"u{number}", fleet.now))
+        record_crash(host.core.quarantine, BAD, crash(f"u{number}", fleet.now))
         fleet.tell_now(host)
         fleet.run(0.5 if number < 2 else 0.0)
 
--- a/tests/platform/test_cloud.py
+++ b/tests/platform/test_cloud.py
@@ -8,14 +8,14 @@
 import pytest
 
 from rudderpass._ids import AvailabilityZone, FencingToken, PoolId, TeamId
-from rudderpass.duties import CallResult, ScaleSubject, WindowUsage
+from rudderpass.duties import CallResult, ScalingGroup, WindowUsage
 from rudderpass.platform import CloudApi
 from tests.platform.cloud import CloudCall, CloudStand
 
 TOKEN = FencingToken(12)
 USAGE = WindowUsage(353445120, {TeamId("hule930"): 412})
-SPOT = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), True)
-USUAL = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), False)
+SPOT = ScalingGroup(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), True)
+USUAL = ScalingGroup(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), False)
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(("subject", "extra"), [(USUAL, {}), (SPOT, {"spot": True})])
 def test_an_order_names_service_zone_number_and_kind(
-    cloud: CloudStand, subject: ScaleSubject, extra: dict[str, bool]
+    cloud: CloudStand, subject: ScalingGroup, extra: dict[str, bool]
 ) -> None:
     api = CloudApi(cloud.address)
     assert api.order_upstreams("edge-1", TOKEN, subject, 6) is CallResult.DONE
--- a/tests/quarantine/builders.py
+++ b/tests/quarantine/builders.py
@@ -1,19 +1,19 @@
-"""Short ways to build crashes and news of them."""
+"""Builders for crashes and updates about them."""
 
 from __future__ import annotations
 
 from rudderpass._ids import Fingerprint, TeamId, UpstreamId
-from rudderpass.quarantine import Crash, CutSend, QuarantineBook, SuspectNews
+from rudderpass.quarantine import Crash, CutSend, QuarantineTracker, SuspectUpdate
 
 TEAM = TeamId("crew")
 
 
-def name(text: str) -> Fingerprint:
+def make_fingerprint(text: str) -> Fingerprint:
     return Fingerprint(text.encode())
 
 
-BAD = name("bad")
-GOOD = name("good")
+BAD = make_fingerprint("bad")
+GOOD = make_fingerprint("good")
 
 
 def crash(
@@ -23,24 +23,24 @@
     return Crash(UpstreamId(upstream), at - 0.08 if sent is None else sent, at, silent)
 
 
-def see_crash(
-    book: QuarantineBook,
+def record_crash(
+    tracker: QuarantineTracker,
     fingerprint: Fingerprint,
     seen: Crash,
     team: TeamId | None = TEAM,
 ) -> None:
-    """Let a host cut a send and find that the upstream has crashed."""
-    book.note_cut(CutSend(fingerprint, team, seen), seen.at)
-    book.note_crashed(seen.upstream, seen.at)
+    """Record a cut send and the crash of its upstream."""
+    tracker.record_cut(CutSend(fingerprint, team, seen), seen.at)
+    tracker.record_crash(seen.upstream, seen.at)
 
 
-def convict(book: QuarantineBook, fingerprint: Fingerprint, at: float) -> None:
-    """Let three upstreams crash under a request, the last one at ``at``."""
+def quarantine(tracker: QuarantineTracker, fingerprint: Fingerprint, at: float) -> None:
+    """Record three crashes under a request, the last one at ``at``."""
     for number in range(3):
         upstream = f"u{fingerprint.decode()}{number}"
-        see_crash(book, fingerprint, crash(upstream, at - 2 + number))
+        record_crash(tracker, fingerprint, crash(upstream, at - 2 + number))
 
 
-def news_of(fingerprint: Fingerprint, *crashes: Crash) -> SuspectNews:
-    """Return news; the times of the crashes are ages."""
-    return SuspectNews(fingerprint, TEAM, crashes)
+def make_update(fingerprint: Fingerprint, *crashes: Crash) -> SuspectUpdate:
+    """Return an update; the times of the crashes are ages."""
+    return SuspectUpdate(fingerprint, TEAM, crashes)
--- a/tests/quarantine/test_attribution.py
+++ b/tests/quarantine/test_attribution.py
@@ -1,11 +1,11 @@
-"""Which requests crashes are put down to."""
+"""Tests of the attribution of crashes to requests."""
 
 from __future__ import annotations
 
 import pytest
 
-from rudderpass.quarantine import Crash, count_causes, find_culprits
-from tests.quarantine.builders import BAD, GOOD, crash, name
+from rudderpass.quarantine import Crash, count_independent_crashes, find_culprits
+from tests.quarantine.builders import BAD, GOOD, crash, make_fingerprint
 
 THREE = [crash("u1", 1.0), crash("u2", 2.0), crash("u3", 3.0)]
 
@@ -25,30 +25,30 @@
 def test_crashes_that_may_share_a_cause_count_once(
     crashes: list[Crash], count: int
 ) -> None:
-    assert count_causes(crashes) == count
+    assert count_independent_crashes(crashes) == count
 
 
-def test_two_crashes_prove_nothing() -> None:
+def test_two_crashes_identify_no_culprit() -> None:
     assert find_culprits({BAD: THREE[:2]}) == {}
 
 
-def test_three_do() -> None:
+def test_three_crashes_identify_the_culprit() -> None:
     assert find_culprits({BAD: THREE}) == {BAD: 3}
 
 
-def test_what_runs_beside_the_culprit_is_explained_by_it() -> None:
+def test_requests_beside_the_culprit_are_explained_by_it() -> None:
     beside = [crash("u1", 1.0, silent=False), crash("u2", 2.0), crash("u3", 3.0)]
     assert find_culprits({BAD: THREE, GOOD: beside}) == {BAD: 3}
 
 
 def test_a_body_beside_two_culprits_is_innocent() -> None:
-    """It has more crashes than either, as many ask for it."""
+    """A popular body may have more crashes than either culprit."""
     others = [crash(f"v{n}", 4.0 + n) for n in range(3)]
     beside = [
         crash(seen.upstream, seen.at, sent=seen.at - 0.3, silent=False)
         for seen in [THREE[2], *others]
     ]
-    worse = name("worse")
+    worse = make_fingerprint("worse")
     assert find_culprits({BAD: THREE, worse: others, GOOD: beside}) == {
         BAD: 3,
         worse: 3,
@@ -59,8 +59,8 @@
     four = [*THREE, crash("u4", 4.0)]
     bad = [crash(c.upstream, c.at, silent=False) for c in four]
     beside = [crash(c.upstream, c.at, sent=c.at - 0.5, silent=False) for c in four]
-    for told in ({BAD: bad, GOOD: beside}, {GOOD: beside, BAD: bad}):
-        assert find_culprits(told) == {BAD: 4}
+    for suspects in ({BAD: bad, GOOD: beside}, {GOOD: beside, BAD: bad}):
+        assert find_culprits(suspects) == {BAD: 4}
 
 
 def test_a_later_crash_of_a_culprit_counts_against_nobody_else() -> None:
@@ -70,7 +70,7 @@
 
 
 def test_two_culprits_are_both_found() -> None:
-    worse = name("worse")
+    worse = make_fingerprint("worse")
     others = [crash("v1", 1.5), crash("v2", 2.5), crash("v3", 3.5), crash("u1", 1.0)]
     assert find_culprits({BAD: THREE, worse: others}) == {worse: 4}, "u1 is explained"
     more = [*THREE, crash("u4", 4.0)]
@@ -83,6 +83,9 @@
     assert find_culprits({BAD: four, GOOD: beside}) == {BAD: 4}
 
 
-def test_a_rack_that_goes_convicts_nobody() -> None:
+def test_a_rack_failure_identifies_no_culprit() -> None:
     at_once = [crash(f"u{n}", 1.0 + n / 1000, sent=0.2, silent=n > 3) for n in range(6)]
-    assert find_culprits({name(f"body-{n}"): at_once[n:] for n in range(6)}) == {}
+    assert (
+        find_culprits({make_fingerprint(f"body-{n}"): at_once[n:] for n in range(6)})
+        == {}
+    )
