--- a/src/rudderpass/duties/_scaling.py
+++ b/src/rudderpass/duties/_scaling.py
@@ -117,10 +117,10 @@
     wanted: dict[ScalingGroup, int] = {}
     for zone in zones:
         present = [e for e in scaled.upstreams if e.zone == zone and not e.leaving]
-        least = max(1, traits.least)
+        least = max(1, traits.min_upstreams)
         if not peak.is_known(now):
-            least = traits.most if prefers_spot else max(least, len(present))
-        total = min(traits.most, max(least, per_zone))
+            least = traits.max_upstreams if prefers_spot else max(least, len(present))
+        total = min(traits.max_upstreams, max(least, per_zone))
         if prefers_spot:
             wanted |= _plan_spot_replacement(scaled, zone, present, total, max_present)
         else:
@@ -144,10 +144,10 @@
     spot_present = sum(entry.is_spot for entry in present)
     on_demand_present = len(present) - spot_present
     needed = min(total, max_present.get(on_demand_group, 0)) - spot_present
-    if len(present) >= scaled.traits.most:
+    if len(present) >= scaled.traits.max_upstreams:
         needed = min(needed, on_demand_present - math.ceil(MAX_MISSING_SHARE * total))
     on_demand = max(1, min(on_demand_present, needed))
-    room = scaled.traits.most - max(on_demand, on_demand_present)
+    room = scaled.traits.max_upstreams - max(on_demand, on_demand_present)
     spot_group = ScalingGroup(scaled.service, zone, True)
     return {on_demand_group: on_demand, spot_group: max(0, min(total - 1, room))}
 
@@ -214,7 +214,7 @@
         for scaled in services:
             peak = self._peaks.setdefault(scaled.service, PeakLoad(now))
             peak.record(scaled.busy, now)
-            self._boot_seconds[scaled.service] = scaled.traits.boot
+            self._boot_seconds[scaled.service] = scaled.traits.boot_seconds
             wanted = plan_upstreams(scaled, peak, self._max_present, now)
             self._wanted.update(wanted)
             self._prices.update(
--- a/tests/duties/test_scaling.py
+++ b/tests/duties/test_scaling.py
@@ -77,7 +77,7 @@
         else:
             result = CallResult.DONE
             if count > present:
-                self._due.append((self.now + self.traits.boot, group, count))
+                self._due.append((self.now + self.traits.boot_seconds, group, count))
             else:
                 self.present[group] = count
         self.orders.record_result(group, count, result, self.now)
@@ -88,7 +88,7 @@
             self.present[item[1]] = item[2]
         for zone in ZONES:
             both = sum(n for group, n in self.present.items() if group.zone == zone)
-            assert both <= self.traits.most
+            assert both <= self.traits.max_upstreams
 
 
 def test_spot_replaces_on_demand_without_a_capacity_gap() -> None:
@@ -199,7 +199,7 @@
 
 def test_each_ready_spot_upstream_replaces_an_on_demand_one() -> None:
     fleet = Fleet(TRAITS, per_zone=15)
-    least = fleet.run(STABLE_SECONDS + 2 * TRAITS.boot + 1.5)
+    least = fleet.run(STABLE_SECONDS + 2 * TRAITS.boot_seconds + 1.5)
     assert least >= 45
     assert fleet.count(is_spot=False) == len(ZONES)
     assert fleet.count(is_spot=True) == 29 * len(ZONES)
@@ -218,7 +218,7 @@
 
 
 def test_equal_bounds_are_respected() -> None:
-    tight = replace(TRAITS, least=2, most=2)
+    tight = replace(TRAITS, min_upstreams=2, max_upstreams=2)
     fleet = Fleet(tight, per_zone=2)
     fleet.busy = 50.0
     fleet.run(60.0)
