--- a/src/rudderpass/exchange/_core.py
+++ b/src/rudderpass/exchange/_core.py
@@ -35,7 +35,7 @@
 from rudderpass.exchange._timeouts import compute_response_start_timeout
 from rudderpass.exchange._weights import SERVICE_SECONDS
 from rudderpass.learning import StreamSample
-from rudderpass.quarantine import QuarantineBook
+from rudderpass.quarantine import QuarantineTracker
 
 MIN_EXPECTED_SECONDS = 0.05
 """Lower bound of the times from which a speed is learned; shorter ones are noisy."""
@@ -76,7 +76,7 @@
         self._hold_times = HoldTimes()
         self._caches = CacheTracker(directory, self._state.prefixes)
         self._budget = SharedRetryBudget(rule, restarted_at)
-        self._quarantine = QuarantineBook()
+        self._quarantine = QuarantineTracker()
         self._crashes = CrashDetector(directory, self._state, self._quarantine)
         self._throttling = Throttling(self._state, rank_host)
         self._count_hosts = count_hosts
@@ -97,7 +97,7 @@
         return self._loads
 
     @property
-    def quarantine(self) -> QuarantineBook:
+    def quarantine(self) -> QuarantineTracker:
         """The requests that may crash upstreams."""
         return self._quarantine
 
@@ -304,7 +304,7 @@
         if assignment.has_response_started:
             return
         assignment.response_started_at = now
-        self._quarantine.note_alive(assignment.upstream, assignment.sent, now)
+        self._quarantine.record_alive(assignment.upstream, assignment.sent, now)
         self._response_order.record(assignment)
         self._loads.end(assignment.upstream, assignment.reading)
         if assignment.slot_wait > 0.0:
--- a/src/rudderpass/exchange/_crashes.py
+++ b/src/rudderpass/exchange/_crashes.py
@@ -5,7 +5,7 @@
 from rudderpass._ids import UpstreamId
 from rudderpass.directory import Directory
 from rudderpass.exchange._choice import RoutingState
-from rudderpass.quarantine import CutSend, QuarantineBook
+from rudderpass.quarantine import CutSend, QuarantineTracker
 
 CRASH_DISPROOF_SECONDS = 10.0
 MAX_LIST_AGE_SECONDS = 5.0
@@ -21,7 +21,10 @@
     """
 
     def __init__(
-        self, directory: Directory, knowledge: RoutingState, quarantine: QuarantineBook
+        self,
+        directory: Directory,
+        knowledge: RoutingState,
+        quarantine: QuarantineTracker,
     ) -> None:
         self._directory = directory
         self._knowledge = knowledge
@@ -34,7 +37,7 @@
         """
         if self._directory.is_leaving_or_gone(cut.crash.upstream, now):
             return False
-        self._quarantine.note_cut(cut, now)
+        self._quarantine.record_cut(cut, now)
         return True
 
     def record_refused_connection(
@@ -43,11 +46,11 @@
         """Record that the port refuses connections; return the sends cut before."""
         self._knowledge.health_of(upstream).record_unreachable(now)
         self._knowledge.prefixes.forget_upstream(upstream)
-        return self._quarantine.note_crashed(upstream, now)
+        return self._quarantine.record_crash(upstream, now)
 
     def record_removed(self, upstream: UpstreamId, now: float) -> None:
         """Record that an upstream's entry was removed, also after a planned stop."""
-        self._quarantine.note_crashed(upstream, now)
+        self._quarantine.record_crash(upstream, now)
 
     def retract_disproved(self, now: float) -> None:
         """Retract the crashes of upstreams that still renew their entries."""
@@ -55,4 +58,4 @@
             return
         for upstream in self._quarantine.crashed_before(now - CRASH_DISPROOF_SECONDS):
             if self._directory.takes_work(upstream, now):
-                self._quarantine.disprove(upstream, now)
+                self._quarantine.retract_crash(upstream, now)
--- a/src/rudderpass/exchange/_quarantine_gate.py
+++ b/src/rudderpass/exchange/_quarantine_gate.py
@@ -89,7 +89,7 @@
 
         :raises CallerGone: when the caller has disconnected.
         """
-        if not self._context.core.quarantine.is_watching:
+        if not self._context.core.quarantine.has_suspects:
             return Permit()
         if self._delay > 0:
             time.sleep(self._delay)
@@ -123,7 +123,7 @@
         self._record_cut(assigned, error)
         with self._context.lock:
             tracker = self._context.core.quarantine
-            if not tracker.is_watching:
+            if not tracker.has_suspects:
                 return True
             verdict = tracker.judge(self.fingerprint, _clock.now())
         if verdict.kind is not VerdictKind.FREE:
@@ -136,11 +136,11 @@
         """Record a complete response: the upstream survived the request."""
         self._is_on_trial = False
         tracker = self._context.core.quarantine
-        if not tracker.is_watching:
+        if not tracker.has_suspects:
             return
         fingerprint = self.fingerprint
         with self._context.lock:
-            tracker.note_served(fingerprint, self._accepted.team, _clock.now())
+            tracker.record_completed(fingerprint, self._accepted.team, _clock.now())
 
     def close(self) -> None:
         """End the trial if one is running."""
--- a/src/rudderpass/gossip/_codec.py
+++ b/src/rudderpass/gossip/_codec.py
@@ -16,7 +16,7 @@
 )
 from rudderpass._thrift import decode_struct, encode_struct
 from rudderpass.directory import URGENCY_RANKS, DirectoryState, KeyedRecord
-from rudderpass.duties import DutyNews
+from rudderpass.duties import DutyStatus
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, PartId, PrefillRate, PromptPart, SentPrompt
 from rudderpass.gossip._digest import Digest, Member
@@ -122,10 +122,10 @@
         raise PeerError(f"invalid heartbeat: {error}", step="decode") from error
 
 
-def _duty_from_wire(raw: wire.Beat) -> DutyNews | None:
+def _duty_from_wire(raw: wire.Beat) -> DutyStatus | None:
     if raw.duty_token is None:
         return None
-    return DutyNews(
+    return DutyStatus(
         FencingToken(raw.duty_token), bool(raw.holds_duties), raw.usage_settled or 0
     )
 
--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -18,22 +18,22 @@
 from rudderpass.duties import (
     Action,
     CallResult,
+    ClusterView,
+    DutyCoordinator,
     DutyHolder,
-    DutyKeeper,
-    DutyNews,
-    Holding,
+    DutyStatus,
+    HolderElection,
     HostUsage,
     ReadLog,
-    ReportRule,
+    ReportPolicy,
     ScaledService,
     ScaleOrders,
-    ScaleSubject,
+    ScalingGroup,
     SendOrder,
     SendReport,
-    Surroundings,
-    UsageBook,
     UsageCounter,
     UsageReports,
+    UsageTracker,
     WindowClock,
     WriteClaim,
     WriteUsage,
@@ -77,7 +77,7 @@
         own: NodeId,
         core: ExchangeCore,
         lock: threading.RLock,
-        surroundings: Callable[[float], Surroundings],
+        surroundings: Callable[[float], ClusterView],
         stopping: threading.Event,
     ) -> None:
         now, wall = _clock.now(), time.time()
@@ -92,9 +92,9 @@
         self._stopping = stopping
         self._clock = WindowClock(settings.window, now, wall)
         self._counter = UsageCounter(self._clock, start)
-        self._usage_tracker = UsageBook()
+        self._usage_tracker = UsageTracker()
         self._reports_usage = settings.reports_usage
-        rule = ReportRule(settings.report_delay)
+        rule = ReportPolicy(settings.report_delay)
         reports = self._reports = UsageReports(
             rule, self._clock, self._usage_tracker, now
         )
@@ -103,9 +103,9 @@
         self._orders = ScaleOrders() if makes_orders else None
         self._is_dry_run = settings.order_mode is OrderMode.DRY_RUN
         self._most_upstreams = settings.most_upstreams
-        self._keeper = DutyKeeper(
+        self._keeper = DutyCoordinator(
             holder,
-            Holding(holder, settings.holding, now),
+            HolderElection(holder, settings.holding, now),
             reports if settings.reports_usage else None,
             self._orders,
         )
@@ -114,9 +114,9 @@
         self._thread: threading.Thread | None = None
 
     @property
-    def news(self) -> DutyNews:
+    def news(self) -> DutyStatus:
         """Duty status for peers; read it with the lock held."""
-        return self._keeper.news
+        return self._keeper.status
 
     @property
     def token(self) -> FencingToken | None:
@@ -126,7 +126,7 @@
     @property
     def reports_waiting(self) -> int:
         """Number of settled usage reports that have not reached the platform yet."""
-        return self._reports.waiting if self.holds else 0
+        return self._reports.unsent_count if self.holds else 0
 
     @property
     def upstreams_wanted(self) -> int:
@@ -147,34 +147,34 @@
         """Count a request that started to run at ``moment``."""
         if self._reports_usage:
             with self._lock:
-                self._counter.note_begun(team, moment)
+                self._counter.record_started(team, moment)
 
     def receive(self, heartbeat: Heartbeat, now: float) -> None:
         """Apply a peer's heartbeat; call with the lock held."""
         if heartbeat.duty is not None:
-            self._keeper.hear(heartbeat.duty, heartbeat.stopping, now)
+            self._keeper.receive(heartbeat.duty, heartbeat.stopping, now)
             self._remove_before(heartbeat.duty.settled_before)
         if heartbeat.usage is not None:
-            self._usage_tracker.take(heartbeat.sender, heartbeat.usage)
+            self._usage_tracker.merge(heartbeat.sender, heartbeat.usage)
 
     def find_due_usage(self, now: float) -> HostUsage | None:
         """Return the usage counts if they are due; call with the lock held."""
         if not self._reports_usage or now < self._next_usage_at:
             return None
         self._next_usage_at = now + USAGE_SEND_SECONDS
-        usage = self._counter.describe(now)
-        self._usage_tracker.take(self._own, usage)
+        usage = self._counter.snapshot(now)
+        self._usage_tracker.merge(self._own, usage)
         return usage
 
     def tick(self, now: float) -> None:
         """Update the state of the duties and wake the thread for due calls."""
         with self._lock:
-            self._clock.look(now, time.time())
+            self._clock.adjust(now, time.time())
             surroundings = self._surroundings(now)
             previous_token = self._keeper.token
-            self._keeper.look(surroundings, now)
+            self._keeper.tick(surroundings, now)
             if self.holds:
-                self._remove_before(self._keeper.news.settled_before)
+                self._remove_before(self._keeper.status.settled_before)
                 self._update_orders(now)
             is_due = self._keeper.next_action(surroundings, now) is not None
         self._log_change(previous_token)
@@ -183,8 +183,8 @@
             self._wake.set()
 
     def _remove_before(self, window: int) -> None:
-        self._counter.forget_before(window)
-        self._usage_tracker.forget_before(window)
+        self._counter.discard_before(window)
+        self._usage_tracker.discard_before(window)
 
     def _update_orders(self, now: float) -> None:
         config = self._core.directory.config
@@ -195,7 +195,7 @@
             for s in config.services
             if s.scaling
         ]
-        self._orders.look(scaled, now)
+        self._orders.update(scaled, now)
 
     def _describe_service(
         self, service: PoolId, traits: ScalingTraits, now: float
@@ -253,19 +253,19 @@
             self._record_log_failure(False, error)
             return
         with self._lock:
-            self._keeper.note_log(read_duty_log(page), _clock.now())
+            self._keeper.record_log(read_duty_log(page), _clock.now())
 
     @_perform.register
     def _(self, action: WriteClaim) -> None:
         if self._append(action.end, HOLDER_KEY, encode_duty_holder(action.holder)):
             with self._lock:
-                self._keeper.note_claimed(action, _clock.now())
+                self._keeper.record_claim(action, _clock.now())
 
     @_perform.register
     def _(self, action: WriteUsage) -> None:
         if self._append(action.end, USAGE_KEY, encode_settled_usage(action.usage)):
             with self._lock:
-                self._keeper.note_usage_written(action)
+                self._keeper.record_usage_written(action)
 
     @_perform.register
     def _(self, action: SendReport) -> None:
@@ -273,7 +273,7 @@
             self._name, action.token, action.usage
         )
         usage = action.usage
-        age = _clock.now() - self._clock.begin_of(usage.window + 1)
+        age = _clock.now() - self._clock.window_start(usage.window + 1)
         log(
             "duty",
             f"usage of window {usage.window}: {result.value}.",
@@ -285,11 +285,11 @@
             age=round(age, 3),
         )
         with self._lock:
-            self._keeper.note_report(action, result, _clock.now())
+            self._keeper.record_report_result(action, result, _clock.now())
 
     @_perform.register
     def _(self, action: SendOrder) -> None:
-        subject = action.subject
+        subject = action.group
         result, word = CallResult.DONE, "not sent, dry run"
         if not self._is_dry_run:
             result = self._access.platform.set_desired_count(
@@ -312,14 +312,14 @@
             **inputs,
         )
         with self._lock:
-            self._keeper.note_order(action, result, _clock.now())
+            self._keeper.record_order_result(action, result, _clock.now())
 
-    def _describe_order(self, subject: ScaleSubject) -> dict[str, float]:
+    def _describe_order(self, subject: ScalingGroup) -> dict[str, float]:
         """Return the inputs of a scaling decision; call with the lock held."""
         assert self._orders is not None
         return {
-            "seen": self._orders.seen(subject),
-            "peak_busy": round(self._orders.peak(subject.service), 2),
+            "seen": self._orders.count_present(subject),
+            "peak_busy": round(self._orders.peak_busy(subject.service), 2),
             "list_age": round(self._core.directory.list_age(_clock.now()), 3),
         }
 
@@ -339,7 +339,7 @@
         reason = "another host has written to it" if error is None else error.show()
         log("duty", "the log of the duties failed.", error=reason)
         with self._lock:
-            self._keeper.note_log_failed(is_passed, _clock.now())
+            self._keeper.record_log_failure(is_passed, _clock.now())
 
     def _log_change(self, previous_token: FencingToken | None) -> None:
         token = self._keeper.token
--- a/src/rudderpass/host/_duty_access.py
+++ b/src/rudderpass/host/_duty_access.py
@@ -13,7 +13,7 @@
     CallResult,
     DutyHolder,
     DutyLog,
-    ScaleSubject,
+    ScalingGroup,
     SettledUsage,
     WindowUsage,
 )
@@ -50,7 +50,7 @@
         """Report the usage of one window."""
 
     def set_desired_count(
-        self, holder: str, token: FencingToken, subject: ScaleSubject, count: int
+        self, holder: str, token: FencingToken, subject: ScalingGroup, count: int
     ) -> CallResult:
         """Order ``count`` upstreams."""
 
--- a/src/rudderpass/host/_gossip_protocol.py
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import AvailabilityZone, NodeId
-from rudderpass.duties import DutyNews, HostUsage
+from rudderpass.duties import DutyStatus, HostUsage
 from rudderpass.exchange import (
     ExchangeCore,
     LoadReport,
@@ -29,7 +29,7 @@
     assign_relay,
 )
 from rudderpass.learning import StreamSample
-from rudderpass.quarantine import SuspectNews
+from rudderpass.quarantine import SuspectUpdate
 
 HEARTBEATS_PER_PRESENCE = 2
 """With relays, one heartbeat in so many also announces this host beyond the relays. A
@@ -76,7 +76,7 @@
         core: ExchangeCore,
         peer_table: PeerTable,
         is_current: Callable[[float], bool],
-        read_duty: Callable[[], DutyNews | None] = lambda: None,
+        read_duty: Callable[[], DutyStatus | None] = lambda: None,
     ) -> None:
         self._own = own
         self._zone = zone
@@ -120,7 +120,7 @@
         """
         self._heartbeat_number += 1
         self._core.loads.record_sent_heartbeat(self._heartbeat_number, now)
-        suspects = self._core.quarantine.tell(now)
+        suspects = self._core.quarantine.due_updates(now)
         rate_limits = self._core.rate_limits.due_updates(now)
         heartbeat = self._make_heartbeat(
             now,
@@ -159,7 +159,7 @@
                 now,
             )
         self._core.record_peer_updates(heartbeat.prompts, heartbeat.streams, now)
-        self._core.quarantine.take(heartbeat.suspects, self._relaying.is_relay, now)
+        self._core.quarantine.merge(heartbeat.suspects, self._relaying.is_relay, now)
         for upstream, rate in self._core.rate_limits.merge(heartbeat.rate_limits, now):
             log_rate_limit(upstream, rate, heartbeat.sender)
         for upstream in heartbeat.leaving:
@@ -221,7 +221,7 @@
     def _compose_digests(
         self,
         relays: list[NodeId],
-        suspects: tuple[SuspectNews, ...],
+        suspects: tuple[SuspectUpdate, ...],
         rate_limits: tuple[RateLimitUpdate, ...],
         now: float,
     ) -> list[Message]:
@@ -318,7 +318,7 @@
         names_peers: bool = False,
         digest: Digest | None = None,
         has_loads: bool = True,
-        suspects: tuple[SuspectNews, ...] = (),
+        suspects: tuple[SuspectUpdate, ...] = (),
         usage: HostUsage | None = None,
         rate_limits: tuple[RateLimitUpdate, ...] = (),
     ) -> Heartbeat:
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -326,7 +326,7 @@
             return
         with self._lock:
             tracker = self._core.quarantine
-            tracker.take(registered.quarantined, False, _clock.now())
+            tracker.merge(registered.quarantined, False, _clock.now())
         self._peers.add_peers(registered.hosts)
 
     def _record_store_update(self, learned: list[DirectoryChange]) -> None:
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -14,7 +14,7 @@
     DirectoryState,
     StoreFollower,
 )
-from rudderpass.duties import Surroundings
+from rudderpass.duties import ClusterView
 from rudderpass.errors import PeerError
 from rudderpass.eventlog import log
 from rudderpass.exchange import ExchangeCore, SentPrompt
@@ -173,13 +173,13 @@
         )
         self._wake.set()
 
-    def read_surroundings(self, now: float) -> Surroundings:
+    def read_surroundings(self, now: float) -> ClusterView:
         """Return the host's view for the duties; call with the lock held."""
         has_heard = self._follower is not None and self._follower.answered_within(
             now, CANDIDATE_SECONDS
         )
         is_candidate = has_heard and not self._core.is_stopping
-        return Surroundings(
+        return ClusterView(
             (self.address, *self._peer_table.live(now)),
             self._peer_table.last_heard,
             self._follow_rule.count_candidates_before(now) if is_candidate else None,
--- a/tests/exchange/test_crash_check.py
+++ b/tests/exchange/test_crash_check.py
@@ -23,7 +23,7 @@
     make_request,
 )
 from tests.listener import Listener
-from tests.quarantine.builders import BAD, crash, see_crash
+from tests.quarantine.builders import BAD, crash, record_crash
 
 
 @pytest.fixture
@@ -102,14 +102,14 @@
 @pytest.mark.parametrize("age", [0.0, CRASH_DISPROOF_SECONDS - 0.1])
 def test_a_crash_counts_until_it_is_disproved(age: float) -> None:
     core = make_core(make_route())
-    see_crash(core.quarantine, BAD, crash("u1", 0.0))
+    record_crash(core.quarantine, BAD, crash("u1", 0.0))
     core.tick(age)
     assert core.quarantine.judge(BAD, age).crashes == 1
 
 
 def test_an_upstream_that_stays_listed_has_not_crashed() -> None:
     core = make_core(make_route())
-    see_crash(core.quarantine, BAD, crash("u1", 0.0))
+    record_crash(core.quarantine, BAD, crash("u1", 0.0))
     core.directory.apply_upstream_changes([], 3, "store", CRASH_DISPROOF_SECONDS)
     core.tick(CRASH_DISPROOF_SECONDS + 0.1)
     assert core.quarantine.judge(BAD, 10.1).crashes == 0
@@ -117,7 +117,7 @@
 
 def test_a_stale_list_disproves_no_crash() -> None:
     core = make_core(make_route())
-    see_crash(core.quarantine, BAD, crash("u1", 0.0))
+    record_crash(core.quarantine, BAD, crash("u1", 0.0))
     core.tick(CRASH_DISPROOF_SECONDS + 0.1)
     assert core.quarantine.judge(BAD, 10.1).crashes == 1
 
--- a/tests/exchange/test_poison.py
+++ b/tests/exchange/test_poison.py
@@ -81,7 +81,7 @@
     harness = make_harness(make_route(), *[reset] * 3)
     statuses = {harness.ask(f"r{number}", FATAL).status for number in range(8)}
     assert statuses == {502}, "it may have run, and is never quarantined"
-    assert not harness.core.quarantine.is_watching
+    assert not harness.core.quarantine.has_suspects
 
 
 def test_a_complete_response_clears_a_request(make_harness: MakeHarness) -> None:
@@ -127,7 +127,7 @@
 
     harness.upstreams[0].behaviour = leave_and_crash
     assert harness.ask("r1", FATAL).status == 200, "the other upstream runs it"
-    assert not harness.core.quarantine.is_watching
+    assert not harness.core.quarantine.has_suspects
 
 
 def test_other_copies_wait_while_one_copy_of_a_suspect_is_on_trial(
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -14,7 +14,13 @@
     TeamId,
     UpstreamId,
 )
-from rudderpass.duties import DutyHolder, DutyNews, HostUsage, SettledUsage, WindowUsage
+from rudderpass.duties import (
+    DutyHolder,
+    DutyStatus,
+    HostUsage,
+    SettledUsage,
+    WindowUsage,
+)
 from rudderpass.errors import PeerError
 from rudderpass.exchange import Load, PrefillRate
 from rudderpass.gossip import (
@@ -109,10 +115,10 @@
 
 
 def test_a_heartbeat_carries_duties_and_usage_counts() -> None:
-    duty = DutyNews(FencingToken(7), True, 355_975_689)
+    duty = DutyStatus(FencingToken(7), True, 355_975_689)
     sent = replace(make_heartbeat(Load(1, 0, 0.0)), duty=duty, usage=USAGE)
     assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
-    without_usage = replace(sent, duty=DutyNews(FencingToken(0)), usage=None)
+    without_usage = replace(sent, duty=DutyStatus(FencingToken(0)), usage=None)
     assert decode_heartbeat(encode_heartbeat(without_usage), SENDER) == without_usage
 
 
--- a/tests/platform/test_cloud.py
+++ b/tests/platform/test_cloud.py
@@ -8,14 +8,14 @@
 import pytest
 
 from rudderpass._ids import AvailabilityZone, FencingToken, PoolId, TeamId
-from rudderpass.duties import CallResult, ScaleSubject, WindowUsage
+from rudderpass.duties import CallResult, ScalingGroup, WindowUsage
 from rudderpass.platform import CloudApi
 from tests.platform.cloud import CloudCall, StandInCloud
 
 TOKEN = FencingToken(12)
 USAGE = WindowUsage(353445120, {TeamId("hule930"): 412})
-SPOT = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), True)
-REGULAR = ScaleSubject(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), False)
+SPOT = ScalingGroup(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), True)
+REGULAR = ScalingGroup(PoolId("huvo11a"), AvailabilityZone("nasr-hall"), False)
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(("subject", "extra"), [(REGULAR, {}), (SPOT, {"spot": True})])
 def test_a_scaling_call_carries_service_zone_count_and_kind(
-    cloud: StandInCloud, subject: ScaleSubject, extra: dict[str, bool]
+    cloud: StandInCloud, subject: ScalingGroup, extra: dict[str, bool]
 ) -> None:
     api = CloudApi(cloud.address)
     assert api.set_desired_count("edge-1", TOKEN, subject, 6) is CallResult.DONE
