--- /dev/null
+++ b/src/rudderpass/exchange/_quarantine_gate.py
@@ -0,0 +1,219 @@
+"""Holds back requests whose repetitions have crashed upstreams."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+
+from rudderpass import _clock
+from rudderpass._ids import Fingerprint
+from rudderpass.errors import (
+    CallerGone,
+    ConnectionCut,
+    ConnectionRefused,
+    StaleConnection,
+    UpstreamError,
+)
+from rudderpass.eventlog import log
+from rudderpass.exchange._assignment import Accepted, Assignment, RefusalReason, Refused
+from rudderpass.exchange._fingerprint import compute_fingerprint
+from rudderpass.exchange._progress import ExchangeContext
+from rudderpass.exchange._request import ExchangeRequest
+from rudderpass.exchange._responses import UpstreamFailureResponse
+from rudderpass.quarantine import Crash, CutSend, Verdict, VerdictKind
+from rudderpass.webserver import CallerConnection
+
+MAX_TRIAL_WAIT_SECONDS = 1.0
+TRIAL_WAIT_TARGET_SHARE = 0.5
+"""A copy waits for another one's trial at most this long, or this share of its latency
+target if that is shorter. Most trials end sooner, whatever their result."""
+
+TRIAL_POLL_SECONDS = 0.02
+"""Interval at which a waiting copy polls for the verdict."""
+
+SUSPECT_RETRY_DELAY_SECONDS = 0.05
+"""Delay after a crash before a suspect request is sent to another upstream. By then the
+other streams cut by the crash are reassigned, so that it does not meet them at an
+upstream again, and peers have reported what they observed."""
+
+MAX_CRASHES_FOR_RETRY = 1
+"""Crashes under a request after which the host still retries it on another upstream.
+After more, the caller gets the error, and the next copy is run as a trial."""
+
+
+@dataclass(frozen=True)
+class Permit:
+    """Permission to send a request.
+
+    :param isolate: the fingerprint of a suspect request, which is to run where the
+        fewest others run; None for any other.
+    """
+
+    isolate: Fingerprint | None = None
+
+
+class QuarantineGate:
+    """Applies the quarantine to the sends of one request.
+
+    Does no work while no request is suspect and no connection was cut.
+
+    .. versionadded:: 0.2
+    """
+
+    def __init__(
+        self,
+        context: ExchangeContext,
+        request: ExchangeRequest,
+        accepted: Accepted,
+        caller: CallerConnection,
+    ) -> None:
+        self._context = context
+        self._request = request
+        self._accepted = accepted
+        self._caller = caller
+        self._cached_fingerprint: Fingerprint | None = None
+        self._is_on_trial = False
+        self._delay = 0.0
+
+    @property
+    def fingerprint(self) -> Fingerprint:
+        """The request's fingerprint, computed on first use."""
+        if self._cached_fingerprint is None:
+            self._cached_fingerprint = compute_fingerprint(
+                self._request, self._accepted.team
+            )
+        return self._cached_fingerprint
+
+    def admit(self) -> Permit | Refused:
+        """Admit a send, wait until it may be sent, or refuse it.
+
+        :raises CallerGone: when the caller has disconnected.
+        """
+        if not self._context.core.quarantine.has_suspects:
+            return Permit()
+        if self._delay > 0:
+            time.sleep(self._delay)
+            self._delay = 0.0
+        target = self._accepted.route.target_latency
+        max_wait = min(MAX_TRIAL_WAIT_SECONDS, TRIAL_WAIT_TARGET_SHARE * target)
+        wait_until = _clock.now() + max_wait
+        while True:
+            verdict = self._judge(_clock.now() >= wait_until)
+            if verdict.kind is VerdictKind.FREE:
+                return Permit()
+            if verdict.kind is VerdictKind.TRIAL:
+                return self._begin_trial(verdict)
+            if verdict.kind is VerdictKind.QUARANTINED:
+                return self._refuse(RefusalReason.QUARANTINED, verdict)
+            if _clock.now() >= wait_until:
+                return self._refuse(RefusalReason.ON_TRIAL, verdict)
+            if self._caller.is_gone:
+                raise CallerGone("the caller left", step="trial")
+            time.sleep(TRIAL_POLL_SECONDS)
+
+    def record_failure(self, assigned: Assignment, error: UpstreamError) -> bool:
+        """Record a failed send; return whether the host may retry the request."""
+        self.close()
+        if isinstance(error, UpstreamFailureResponse):
+            self.record_complete_response()
+        if isinstance(error, ConnectionRefused):
+            self._record_crash(assigned)
+        if not isinstance(error, ConnectionCut):
+            return True
+        self._record_cut(assigned, error)
+        with self._context.lock:
+            tracker = self._context.core.quarantine
+            if not tracker.has_suspects:
+                return True
+            verdict = tracker.judge(self.fingerprint, _clock.now())
+        if verdict.kind is not VerdictKind.FREE:
+            self._delay = SUSPECT_RETRY_DELAY_SECONDS
+        return (
+            verdict.kind is VerdictKind.FREE or verdict.crashes <= MAX_CRASHES_FOR_RETRY
+        )
+
+    def record_complete_response(self) -> None:
+        """Record a complete response: the upstream survived the request."""
+        self._is_on_trial = False
+        tracker = self._context.core.quarantine
+        if not tracker.has_suspects:
+            return
+        fingerprint = self.fingerprint
+        with self._context.lock:
+            tracker.record_completed(fingerprint, self._accepted.team, _clock.now())
+
+    def close(self) -> None:
+        """End the trial if one is running."""
+        if not self._is_on_trial:
+            return
+        self._is_on_trial = False
+        with self._context.lock:
+            self._context.core.quarantine.end_trial(self.fingerprint)
+
+    def _judge(self, has_waited: bool) -> Verdict:
+        """Return the verdict; a trial that it allows is started."""
+        fingerprint = self.fingerprint
+        now = _clock.now()
+        with self._context.lock:
+            tracker = self._context.core.quarantine
+            verdict = tracker.judge(fingerprint, now)
+            waits = verdict.kind is VerdictKind.WAIT
+            if waits and has_waited and verdict.crashes <= MAX_CRASHES_FOR_RETRY:
+                verdict = Verdict(VerdictKind.TRIAL, verdict.crashes)
+            if verdict.kind is VerdictKind.TRIAL:
+                tracker.begin_trial(fingerprint, now)
+        return verdict
+
+    def _begin_trial(self, verdict: Verdict) -> Permit:
+        self._is_on_trial = True
+        self._log(verdict)
+        self._context.on_suspect_request()
+        return Permit(self.fingerprint)
+
+    def _refuse(self, reason: RefusalReason, verdict: Verdict) -> Refused:
+        self._log(verdict)
+        return Refused(reason, verdict.seconds)
+
+    def _record_cut(self, assigned: Assignment, error: ConnectionCut) -> None:
+        now = _clock.now()
+        crash = Crash(
+            assigned.upstream,
+            assigned.sent,
+            now,
+            silent=not assigned.has_response_started,
+        )
+        cut = CutSend(self.fingerprint, self._accepted.team, crash)
+        with self._context.lock:
+            if not self._context.core.crashes.record_cut(cut, now):
+                return
+        if isinstance(error, StaleConnection):
+            return  # The next send goes to the same upstream and shows if it crashed.
+        if self._context.connections.has_crashed(assigned.address):
+            self._record_crash(assigned)
+
+    def _record_crash(self, assigned: Assignment) -> None:
+        with self._context.lock:
+            crashes = self._context.core.crashes
+            cuts = crashes.record_refused_connection(assigned.upstream, _clock.now())
+        if not cuts:
+            return
+        log(
+            "crash",
+            f"{assigned.upstream} crashed while {len(cuts)} requests ran there.",
+            upstream=assigned.upstream,
+            fingerprints=[cut.fingerprint.hex() for cut in cuts],
+            silent=[cut.fingerprint.hex() for cut in cuts if cut.crash.silent],
+        )
+        self._context.on_suspect_request()
+
+    def _log(self, verdict: Verdict) -> None:
+        log(
+            "quarantine",
+            f"{self._request.request_id} {verdict.kind.value},"
+            f" {verdict.crashes} crashes.",
+            request=self._request.request_id,
+            fingerprint=self.fingerprint.hex(),
+            verdict=verdict.kind.name.lower(),
+            crashes=verdict.crashes,
+            seconds=round(verdict.seconds, 3),
+        )
--- /dev/null
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -0,0 +1,349 @@
+"""Gossip between hosts: composes heartbeats and applies received ones.
+
+It has no sockets and no clock, so that a test can simulate many hosts.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from rudderpass._ids import AvailabilityZone, NodeId
+from rudderpass.duties import DutyStatus, HostUsage
+from rudderpass.exchange import (
+    ExchangeCore,
+    LoadReport,
+    RateLimitUpdate,
+    SentPrompt,
+    log_leaving,
+    log_rate_limit,
+)
+from rudderpass.gossip import (
+    HEARTBEATS_PER_PEER_SAMPLE,
+    Digest,
+    Heartbeat,
+    Member,
+    PeerTable,
+    RelayRole,
+    assign_relay,
+)
+from rudderpass.learning import StreamSample
+from rudderpass.quarantine import SuspectUpdate
+
+HEARTBEATS_PER_PRESENCE = 2
+"""With relays, one heartbeat in so many also announces this host beyond the relays. A
+store follower announces itself to all hosts, which replace a follower not heard for
+1.2 s. A relay announces itself to the hosts that it does not serve, which stop using a
+relay not heard for 1.5 s."""
+
+HEARTBEATS_PER_MEMBER_LIST = 4
+"""Number of digests, sent within one second, that together list all hosts of the other
+zones. One digest need not list all: a host counts as live for 3 s, and each entry takes
+about 20 bytes."""
+
+MAX_LEAVING_REPORTED = 50
+"""Maximum number of leaving upstreams in one heartbeat."""
+
+
+@dataclass(frozen=True)
+class Message:
+    """A heartbeat and its recipients."""
+
+    heartbeat: Heartbeat
+    targets: list[NodeId]
+
+
+class GossipProtocol:
+    """Composes one host's heartbeats and applies those of its peers.
+
+    :param zone: the host's availability zone.
+    :param link_mbps: bandwidth of its link, Mbit/s.
+    :param is_current: returns whether the host receives updates from the platform's
+        store itself.
+    :param read_duty: returns the duty status for peers; None if there are no duties.
+
+    Not thread-safe: the host's lock guards it.
+
+    .. versionadded:: 0.2
+    """
+
+    def __init__(
+        self,
+        own: NodeId,
+        zone: AvailabilityZone,
+        link_mbps: int,
+        core: ExchangeCore,
+        peer_table: PeerTable,
+        is_current: Callable[[float], bool],
+        read_duty: Callable[[], DutyStatus | None] = lambda: None,
+    ) -> None:
+        self._own = own
+        self._zone = zone
+        self._link_mbps = link_mbps
+        self._core = core
+        self._peer_table = peer_table
+        self._is_current = is_current
+        self._read_duty = read_duty
+        self._relaying = RelayRole(own, zone, link_mbps, peer_table)
+        self._rng = random.Random(own)
+        self._heartbeat_numbers: dict[NodeId, int] = {}
+        self._heartbeat_number = 0
+
+    @property
+    def is_relay(self) -> bool:
+        """Whether this host is a relay, which aggregates the reports of its zone."""
+        return self._relaying.is_relay
+
+    def make_greeting(self, now: float, is_relayed: bool) -> Heartbeat:
+        """Return a heartbeat for a peer that may not know this host."""
+        return self._make_heartbeat(
+            now,
+            has_loads=not is_relayed,
+            suspects=self._core.quarantine.describe_quarantined(now),
+            rate_limits=self._core.rate_limits.newest_updates(now),
+        )
+
+    def make_usage_heartbeat(self, usage: HostUsage, now: float) -> Heartbeat:
+        """Return a heartbeat for the hosts that collect counts for usage reports."""
+        return self._make_heartbeat(now, has_loads=False, usage=usage)
+
+    def compose(
+        self, now: float, is_relayed: bool, has_store_update: bool = False
+    ) -> list[Message]:
+        """Return the heartbeats that are due.
+
+        :param is_relayed: whether relays aggregate reports; otherwise each host sends
+            to each.
+        :param has_store_update: whether this host has just received an update from the
+            store; then it announces to all hosts at once that it is ahead of them.
+        """
+        self._heartbeat_number += 1
+        self._core.loads.record_sent_heartbeat(self._heartbeat_number, now)
+        suspects = self._core.quarantine.due_updates(now)
+        rate_limits = self._core.rate_limits.due_updates(now)
+        heartbeat = self._make_heartbeat(
+            now,
+            suspects=suspects,
+            prompts=tuple(self._core.caches.drain()),
+            streams=tuple(self._core.drain_streams()),
+            names_peers=self._heartbeat_number % HEARTBEATS_PER_PEER_SAMPLE == 0,
+            rate_limits=rate_limits,
+        )
+        if not is_relayed:
+            self._core.loads.is_relay = self._relaying.is_relay = False
+            return [Message(heartbeat, self._peer_table.targets(now))]
+        relays = self._relaying.choose_zone_relays(now)
+        self._core.loads.is_relay = self._relaying.is_relay
+        messages = [
+            Message(heartbeat, [relay for relay in relays if relay != self._own]),
+            Message(
+                self.make_greeting(now, True),
+                self._presence_targets(relays, has_store_update, now),
+            ),
+        ]
+        if self._relaying.is_relay:
+            self._relaying.enqueue(True, heartbeat.prompts, heartbeat.streams, now)
+            messages += self._compose_digests(relays, suspects, rate_limits, now)
+        return [message for message in messages if message.targets]
+
+    def receive(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Apply a peer's heartbeat; return whether the peer was not live before."""
+        is_new = self._peer_table.receive_heartbeat(heartbeat, now)
+        if heartbeat.loads is not None:
+            self._heartbeat_numbers[heartbeat.sender] = heartbeat.number
+            self._core.record_peer_load(
+                heartbeat.sender,
+                LoadReport(heartbeat.loads, heartbeat.reading),
+                heartbeat.zone,
+                now,
+            )
+        self._core.record_peer_updates(heartbeat.prompts, heartbeat.streams, now)
+        self._core.quarantine.merge(heartbeat.suspects, self._relaying.is_relay, now)
+        for upstream, rate in self._core.rate_limits.merge(heartbeat.rate_limits, now):
+            log_rate_limit(upstream, rate, heartbeat.sender)
+        for upstream in heartbeat.leaving:
+            if self._core.directory.record_leaving(upstream):
+                log_leaving(upstream, heartbeat.sender)
+        if heartbeat.digest is not None:
+            self._receive_digest(heartbeat.digest, heartbeat.zone, now)
+        if self._relaying.is_relay:
+            is_own_zone = heartbeat.zone == self._zone
+            self._relaying.enqueue(
+                is_own_zone, heartbeat.prompts, heartbeat.streams, now
+            )
+        return is_new
+
+    def remove_expired(self, now: float) -> None:
+        """Remove expired entries."""
+        self._relaying.forget_old(now)
+        live = set(self._peer_table.live(now))
+        self._heartbeat_numbers = {
+            h: number for h, number in self._heartbeat_numbers.items() if h in live
+        }
+
+    def _receive_digest(
+        self, digest: Digest, zone: AvailabilityZone | None, now: float
+    ) -> None:
+        self._peer_table.merge_digest(digest, now)
+        work = LoadReport(digest.loads, digest.reading)
+        if digest.covers_all_zones and zone == self._zone:
+            number = digest.find_number(self._own, self._zone)
+            self._core.loads.record_total(work, number, now)
+        elif not digest.covers_all_zones and zone is not None and zone != self._zone:
+            self._core.loads.record_zone(zone, work, now)
+
+    def _presence_targets(
+        self, relays: list[NodeId], has_store_update: bool, now: float
+    ) -> list[NodeId]:
+        """Return the hosts besides the relays to which this host announces itself."""
+        targets = self._peer_table.sample_silent(now)
+        if self._heartbeat_number % HEARTBEATS_PER_PRESENCE and not has_store_update:
+            return targets
+        if has_store_update or self._is_current(now) or self._holds_duties:
+            hosts = self._peer_table.live(now)
+        elif self._relaying.is_relay:
+            hosts = [
+                host
+                for host in self._peer_table.live_in(self._zone, now)
+                if assign_relay(host, relays) != self._own
+            ]
+        else:
+            hosts = []
+        return targets + [host for host in hosts if host not in relays]
+
+    @property
+    def _holds_duties(self) -> bool:
+        """Whether this host holds the duties; others replace a holder not heard."""
+        duty = self._read_duty()
+        return duty is not None and duty.holds
+
+    def _compose_digests(
+        self,
+        relays: list[NodeId],
+        suspects: tuple[SuspectUpdate, ...],
+        rate_limits: tuple[RateLimitUpdate, ...],
+        now: float,
+    ) -> list[Message]:
+        hosts = [
+            host
+            for host in self._peer_table.live_in(self._zone, now)
+            if host in self._heartbeat_numbers
+        ]
+        members = (
+            self._describe_own(now),
+            *(
+                self._peer_table.describe(host, self._heartbeat_numbers[host], now)
+                for host in hosts
+            ),
+        )
+        prompts, streams = self._relaying.for_relays.drain()
+        work = self._core.loads.sum_zone(self._zone, now)
+        for_relays = self._make_heartbeat(
+            now,
+            suspects=suspects,
+            prompts=prompts,
+            streams=streams,
+            digest=Digest(False, {self._zone: members}, work.loads, work.reading),
+            rate_limits=rate_limits,
+        )
+        prompts, streams = self._relaying.for_zone.drain()
+        work = self._core.loads.sum_all(now)
+        named = {self._zone: members, **self._describe_others(now)}
+        for_zone = self._make_heartbeat(
+            now,
+            suspects=suspects,
+            prompts=prompts,
+            streams=streams,
+            digest=Digest(True, named, work.loads, work.reading),
+            rate_limits=rate_limits,
+        )
+        return [
+            Message(for_relays, self._relaying.choose_remote_relays(now)),
+            Message(for_zone, self._hosts_served(hosts, relays)),
+        ]
+
+    def _hosts_served(self, hosts: list[NodeId], relays: list[NodeId]) -> list[NodeId]:
+        """Return the hosts to which this relay sends its digest of all zones.
+
+        The order is random, so that a saturated link does not always drop the
+        datagrams of the same hosts.
+        """
+        served = [
+            host
+            for host in hosts
+            if host not in relays and assign_relay(host, relays) == self._own
+        ]
+        self._rng.shuffle(served)
+        return served
+
+    def _describe_own(self, now: float) -> Member:
+        directory = self._core.directory
+        return Member(
+            self._own,
+            self._heartbeat_number,
+            0.0,
+            directory.config_offset,
+            directory.upstreams_end,
+            self._core.is_stopping,
+            self._core.is_warm,
+            self._is_current(now),
+            self._link_mbps,
+        )
+
+    def _describe_others(
+        self, now: float
+    ) -> dict[AvailabilityZone, tuple[Member, ...]]:
+        """Return some hosts of the other zones.
+
+        All of them are covered within HEARTBEATS_PER_MEMBER_LIST heartbeats.
+        """
+        first = self._heartbeat_number % HEARTBEATS_PER_MEMBER_LIST
+        return {
+            zone: tuple(
+                self._peer_table.describe(host, 0, now)
+                for host in sorted(self._peer_table.live_in(zone, now))[
+                    first::HEARTBEATS_PER_MEMBER_LIST
+                ]
+            )
+            for zone in self._peer_table.zones(now)
+            if zone != self._zone
+        }
+
+    def _make_heartbeat(
+        self,
+        now: float,
+        prompts: tuple[SentPrompt, ...] = (),
+        streams: tuple[StreamSample, ...] = (),
+        names_peers: bool = False,
+        digest: Digest | None = None,
+        has_loads: bool = True,
+        suspects: tuple[SuspectUpdate, ...] = (),
+        usage: HostUsage | None = None,
+        rate_limits: tuple[RateLimitUpdate, ...] = (),
+    ) -> Heartbeat:
+        has_load_report = has_loads and digest is None
+        directory = self._core.directory
+        loads = self._core.loads
+        return Heartbeat(
+            self._own,
+            directory.config_offset,
+            directory.upstreams_end,
+            self._core.is_stopping,
+            loads.own if has_load_report else None,
+            prompts,
+            self._peer_table.sample_live(now) if names_peers else (),
+            self._core.is_warm,
+            self._is_current(now),
+            streams,
+            loads.own_reading(now) if has_load_report else {},
+            self._zone,
+            self._heartbeat_number,
+            digest,
+            self._link_mbps,
+            suspects,
+            self._read_duty(),
+            usage,
+            rate_limits,
+            tuple(directory.reported_leaving[-MAX_LEAVING_REPORTED:]),
+        )
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -14,9 +14,15 @@
     TeamId,
     UpstreamId,
 )
-from rudderpass.duties import DutyHolder, DutyNews, HostUsage, SettledUsage, WindowUsage
+from rudderpass.duties import (
+    DutyHolder,
+    DutyStatus,
+    HostUsage,
+    SettledUsage,
+    WindowUsage,
+)
 from rudderpass.errors import PeerError
-from rudderpass.exchange import Load, Reading
+from rudderpass.exchange import Load, PrefillRate
 from rudderpass.gossip import (
     Digest,
     Heartbeat,
@@ -35,7 +41,9 @@
 
 
 def make_heartbeat(
-    load: Load, streams: tuple[StreamSample, ...] = (), reading: Reading | None = None
+    load: Load,
+    streams: tuple[StreamSample, ...] = (),
+    reading: PrefillRate | None = None,
 ) -> Heartbeat:
     rates = {} if reading is None else {POOL: reading}
     return Heartbeat(
@@ -47,20 +55,22 @@
     sent = make_heartbeat(
         Load(3, 4000, 1.5, (0, 2, 1), (0, 3072, 1024)),
         (StreamSample(UPSTREAM, 0.0167, 0.21),),
-        Reading(4000.0, 24_000.0),
+        PrefillRate(4000.0, 24_000.0),
     )
     assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
 
 
 def test_prefill_rates_that_round_to_zero_take_no_bytes() -> None:
-    with_none = encode_heartbeat(make_heartbeat(Load(1, 0, 0.0), (), Reading(0.2, 0.0)))
+    with_none = encode_heartbeat(
+        make_heartbeat(Load(1, 0, 0.0), (), PrefillRate(0.2, 0.0))
+    )
     assert with_none == encode_heartbeat(make_heartbeat(Load(1, 0, 0.0)))
 
 
 @pytest.mark.parametrize("tokens", [2**31, 10**30], ids=str)
 def test_absurd_loads_do_not_stop_the_heartbeats(tokens: int) -> None:
     sent = make_heartbeat(
-        Load(1, tokens, 0.0), (), Reading(float(tokens), float(tokens))
+        Load(1, tokens, 0.0), (), PrefillRate(float(tokens), float(tokens))
     )
     received = decode_heartbeat(encode_heartbeat(sent), SENDER)
     assert received.loads is not None
@@ -79,7 +89,7 @@
             AvailabilityZone("hall-b"): (),
         },
         {UPSTREAM: Load(40, 90_000, 7.25)},
-        {POOL: Reading(4000.0, 24_000.0)},
+        {POOL: PrefillRate(4000.0, 24_000.0)},
     )
     sent = Heartbeat(SENDER, 3, 9, False, None, (), (), number=4, digest=digest)
     assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
@@ -105,10 +115,10 @@
 
 
 def test_a_heartbeat_carries_duties_and_usage_counts() -> None:
-    duty = DutyNews(FencingToken(7), True, 355_975_689)
+    duty = DutyStatus(FencingToken(7), True, 355_975_689)
     sent = replace(make_heartbeat(Load(1, 0, 0.0)), duty=duty, usage=USAGE)
     assert decode_heartbeat(encode_heartbeat(sent), SENDER) == sent
-    without_usage = replace(sent, duty=DutyNews(FencingToken(0)), usage=None)
+    without_usage = replace(sent, duty=DutyStatus(FencingToken(0)), usage=None)
     assert decode_heartbeat(encode_heartbeat(without_usage), SENDER) == without_usage
 
 
--- a/tests/gossip/test_mutated.py
+++ b/tests/gossip/test_mutated.py
@@ -10,7 +10,7 @@
 from rudderpass._ids import NodeId, PoolId, UpstreamId, UpstreamName
 from rudderpass.directory import DirectoryState, KeyedRecord
 from rudderpass.errors import PeerError
-from rudderpass.exchange import Load, RateLimitNews, Reading, SentPrompt
+from rudderpass.exchange import Load, PrefillRate, RateLimitUpdate, SentPrompt
 from rudderpass.gossip import (
     Digest,
     Heartbeat,
@@ -23,12 +23,12 @@
     encode_state,
 )
 from rudderpass.gossip._codec import decode_heartbeat
-from rudderpass.host._telling import Telling
+from rudderpass.host._gossip_protocol import GossipProtocol
 from rudderpass.learning import StreamSample
 from tests.directory.builders import ZONE, make_route
 from tests.exchange.builders import assign, make_core, make_request, parts
 from tests.fuzz import make_settings
-from tests.quarantine.builders import BAD, GOOD, crash, news_of
+from tests.quarantine.builders import BAD, GOOD, crash, make_update
 
 OWN = NodeId("10.0.0.9:1")
 SENDER = NodeId("10.0.0.2:1")
@@ -46,17 +46,20 @@
         True,
         True,
         (StreamSample(UPSTREAM, 0.01, 0.2),),
-        {PoolId("engines"): Reading(4000.0, 2000.0)},
+        {PoolId("engines"): PrefillRate(4000.0, 2000.0)},
         ZONE,
         7,
         Digest(
             True,
             {ZONE: (Member(OWN, 3, 0.2, 0, 3), Member(SENDER, 4, 0.1, 0, 3))},
             {UPSTREAM: Load(9, 4000, 1.5, (1, 8), (500, 3500))},
-            {PoolId("engines"): Reading(9000.0, 1000.0)},
+            {PoolId("engines"): PrefillRate(9000.0, 1000.0)},
+        ),
+        rate_limits=(RateLimitUpdate(UPSTREAM, 1.5, 0.25),),
+        suspects=(
+            make_update(BAD, crash("u1", 2.0), crash("u2", 1.0)),
+            make_update(GOOD),
         ),
-        rate_limits=(RateLimitNews(UPSTREAM, 1.5, 0.25),),
-        suspects=(news_of(BAD, crash("u1", 2.0), crash("u2", 1.0)), news_of(GOOD)),
     )
 )
 STATE = encode_state(
@@ -90,8 +93,8 @@
         return
     core = make_core(make_route())
     peers = PeerTable(OWN, random.Random(1))
-    telling = Telling(OWN, ZONE, 100, core, peers, lambda now: False)
-    telling.take(heartbeat, 1.0)
+    telling = GossipProtocol(OWN, ZONE, 100, core, peers, lambda now: False)
+    telling.receive(heartbeat, 1.0)
     telling.compose(1.05, is_relayed=True)
     assign(core, make_request(parts=PROMPT.parts), 1.1)
 
@@ -117,7 +120,7 @@
     except PeerError:
         return
     core = make_core(make_route())
-    core.caches.take(prompts, 1.0)
+    core.caches.merge(prompts, 1.0)
     assign(core, make_request(parts=PROMPT.parts), 1.1)
 
 
