--- a/src/rudderpass/declarations/__init__.py
+++ b/src/rudderpass/declarations/__init__.py
@@ -6,7 +6,7 @@
     ObjectKey as ObjectKey,
     digest_token as digest_token,
 )
-from rudderpass.declarations._history import (
+from rudderpass.declarations._config_state import (
     Change as Change,
     ConfigState as ConfigState,
     Conflict as Conflict,
--- a/src/rudderpass/declarations/_publish.py
+++ b/src/rudderpass/declarations/_publish.py
@@ -7,7 +7,12 @@
 from enum import Enum
 
 from rudderpass.declarations._catalog import Catalog, ObjectKey
-from rudderpass.declarations._history import Change, ConfigState, Operation, dump_spec
+from rudderpass.declarations._config_state import (
+    Change,
+    ConfigState,
+    Operation,
+    dump_spec,
+)
 
 
 class Step(Enum):
