--- a/src/rudderpass/declarations/__init__.py
+++ b/src/rudderpass/declarations/__init__.py
@@ -20,6 +20,12 @@
     restore_snapshot as restore_snapshot,
     take_snapshot as take_snapshot,
 )
+from rudderpass.declarations._diff import (
+    Difference as Difference,
+    Step as Step,
+    build_change as build_change,
+    compare as compare,
+)
 from rudderpass.declarations._load import (
     Finding as Finding,
     load_declarations as load_declarations,
@@ -38,12 +44,6 @@
     UpstreamKind as UpstreamKind,
     UpstreamSpec as UpstreamSpec,
 )
-from rudderpass.declarations._publish import (
-    Difference as Difference,
-    Step as Step,
-    build_change as build_change,
-    compare as compare,
-)
 from rudderpass.declarations._selectors import (
     LabelSelector as LabelSelector,
     MatchExpression as MatchExpression,
