--- a/src/rudderpass/claims/__init__.py
+++ b/src/rudderpass/claims/__init__.py
@@ -1,14 +1,14 @@
-"""Claims: work that a key names runs at most once, by the order of the log."""
+"""Claims: keyed work runs at most once; the first claim in the log wins."""
 
 from rudderpass.claims._claimer import (
-    MAX_ANSWER_BYTES as MAX_ANSWER_BYTES,
+    MAX_RESPONSE_BYTES as MAX_RESPONSE_BYTES,
     Claimer as Claimer,
     ClaimResult as ClaimResult,
     Lost as Lost,
     Unavailable as Unavailable,
     Won as Won,
     digest_body as digest_body,
-    make_key as make_key,
+    make_claim_key as make_claim_key,
 )
 from rudderpass.claims._records import (
     AttemptId as AttemptId,
@@ -20,7 +20,7 @@
     parse_batch as parse_batch,
 )
 from rudderpass.claims._table import (
+    ClaimEntry as ClaimEntry,
     ClaimState as ClaimState,
     ClaimTable as ClaimTable,
-    Entry as Entry,
 )
--- a/src/rudderpass/claims/_claimer.py
+++ b/src/rudderpass/claims/_claimer.py
@@ -1,9 +1,9 @@
-"""Claims work for attempts on one node, through the platform's log.
+"""Claims keyed work for the attempts of one node, through the platform's log.
 
-A node dispatches keyed work only after it has read its own claim back as the first.
-If the answer to an append is lost, reading settles it; if the log cannot be read, the
-caller is told that its work was not run, which is true, since nothing was dispatched,
-and a claim that may still appear is released before any other attempt can win.
+A node dispatches keyed work only after it has read its own claim back as the first
+for the key. If the response to an append is lost, reading the log settles the claim.
+If the log cannot be read, nothing was dispatched, so the caller is told that its work
+was not run; a claim that may still appear is released before another attempt can win.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     dump_batch,
     parse_batch,
 )
-from rudderpass.claims._table import ClaimState, ClaimTable, Entry
+from rudderpass.claims._table import ClaimEntry, ClaimState, ClaimTable
 from rudderpass.errors import PlatformError
 from rudderpass.logservice import (
     CLAIM_STREAM,
@@ -38,28 +38,28 @@
     new_record_id,
 )
 
-_COMMIT_SECONDS = 0.005
-"""How long the first record of a batch waits for others."""
+_BATCH_DELAY_SECONDS = 0.005
+"""How long the first record of a batch waits for more records."""
 
 _MAX_BATCH = 256
-_WAIT_SECONDS = 1.0
+_LONG_POLL_SECONDS = 1.0
 _RETRY_SECONDS = 0.2
-MAX_ANSWER_BYTES = 64 * 1024
-"""Larger answers are not kept for a later request with the same key."""
+MAX_RESPONSE_BYTES = 64 * 1024
+"""Larger responses are not stored for later requests with the same key."""
 
 
 @dataclass(frozen=True)
 class Won:
-    """The attempt may dispatch, until ``deadline`` on the monotonic clock."""
+    """The attempt may dispatch its work until ``deadline`` (monotonic clock)."""
 
     deadline: float
 
 
 @dataclass(frozen=True)
 class Lost:
-    """Another attempt holds the key; ``entry`` says how far it is."""
+    """Another attempt holds the key; ``entry`` has its state."""
 
-    entry: Entry
+    entry: ClaimEntry
 
 
 @dataclass(frozen=True)
@@ -74,41 +74,41 @@
 
 @dataclass
 class _Pending:
-    """One claim that waits for its record to be read back."""
+    """A claim whose record has not been read back yet."""
 
     claim: Claim
     deadline: float
     future: Future[ClaimResult] = field(default_factory=Future)
 
 
-def make_key(team: TeamId, route: str, key: str) -> ClaimKey:
-    """Return the name of the work; teams and routes never share keys."""
+def make_claim_key(team: TeamId, route: str, key: str) -> ClaimKey:
+    """Return the key of a piece of work; teams and routes never share keys."""
     parts = "\0".join((team, route, key))
     return ClaimKey(hashlib.sha256(parts.encode()).hexdigest()[:32])
 
 
 def digest_body(body: bytes) -> str:
-    """Return a digest by which two bodies are told apart."""
+    """Return a digest that identifies a request body."""
     return hashlib.sha256(body).hexdigest()[:32]
 
 
 class Claimer:
-    """One node's side of the claim stream: one thread writes, one reads.
+    """One node's client of the claim stream: one thread writes, one reads.
 
     :param log: the platform's log service.
-    :param complain: called with a sentence when the log fails.
+    :param on_error: called with a message when the log fails.
 
     .. versionadded:: 0.1
     """
 
-    def __init__(self, log: LogService, complain: Callable[[str], None]) -> None:
+    def __init__(self, log: LogService, on_error: Callable[[str], None]) -> None:
         self._log = log
-        self._complain = complain
+        self._on_error = on_error
         self._lock = threading.Condition()
         self._table = ClaimTable()
         self._offset = 0
         self._pending: dict[AttemptId, _Pending] = {}
-        self._given_up: set[AttemptId] = set()
+        self._abandoned: set[AttemptId] = set()
         self._outgoing: queue.Queue[ClaimRecord | None] = queue.Queue()
         self._stopping = threading.Event()
         self._threads = [
@@ -117,12 +117,12 @@
         ]
 
     def start(self) -> None:
-        """Begin to follow the stream."""
+        """Start the threads that read and write the stream."""
         for thread in self._threads:
             thread.start()
 
     def close(self) -> None:
-        """Stop; claims that wait are told that nothing was dispatched."""
+        """Stop; pending claims end as :class:`Unavailable`."""
         self._stopping.set()
         self._outgoing.put(None)
         with self._lock:
@@ -132,30 +132,30 @@
     def claim(
         self, key: ClaimKey, attempt: AttemptId, digest: str, seconds: float
     ) -> ClaimResult:
-        """Claim a key, and wait up to ``seconds`` until it is settled."""
+        """Claim a key and wait up to ``seconds`` for the result."""
         claim = Claim(key=key, attempt=attempt, digest=digest)
         pending = _Pending(claim, time.monotonic() + seconds)
         with self._lock:
-            known = self._table.get(key)
-            if known is not None and known.state is not ClaimState.RELEASED:
-                return Lost(known)
+            existing = self._table.get(key)
+            if existing is not None and existing.state is not ClaimState.RELEASED:
+                return Lost(existing)
             self._pending[attempt] = pending
         self._outgoing.put(claim)
         try:
             return pending.future.result(timeout=seconds)
         except TimeoutError:
-            return self._give_up(pending)
+            return self._abandon(pending)
 
     def release(self, key: ClaimKey, attempt: AttemptId) -> None:
-        """Say that the claimed work was not run."""
+        """Record that the claimed work was not run."""
         self._outgoing.put(Released(key=key, attempt=attempt))
 
     def finish(self, done: Done) -> None:
-        """Say that the claimed work ran, and keep its answer."""
+        """Record that the claimed work ran, with its response."""
         self._outgoing.put(done)
 
-    def wait_done(self, key: ClaimKey, seconds: float) -> Entry | None:
-        """Wait until the work of a key is no longer running, and return it."""
+    def wait_until_ended(self, key: ClaimKey, seconds: float) -> ClaimEntry | None:
+        """Wait until a key's work is no longer running, and return its entry."""
         deadline = time.monotonic() + seconds
         with self._lock:
             while True:
@@ -165,16 +165,16 @@
                     return entry
                 self._lock.wait(left)
 
-    def _give_up(self, pending: _Pending) -> ClaimResult:
-        """End a claim that was not settled in time.
+    def _abandon(self, pending: _Pending) -> ClaimResult:
+        """Abandon a claim that was not settled in time.
 
-        Its record may still appear and win, so it is released; if it appears behind
-        the release, it is released once more when it is read.
+        Its record may still appear and win, so it is released. If it appears after
+        that release, it is released again when it is read.
         """
         with self._lock:
             if pending.future.done():
                 return pending.future.result()
-            self._given_up.add(AttemptId(pending.claim.attempt))
+            self._abandoned.add(AttemptId(pending.claim.attempt))
             self._settle(pending, Unavailable("the log did not answer in time"))
         self.release(ClaimKey(pending.claim.key), AttemptId(pending.claim.attempt))
         return pending.future.result()
@@ -186,18 +186,18 @@
 
     def _write(self) -> None:
         while not self._stopping.is_set():
-            batch = self._collect()
+            batch = self._collect_batch()
             if not batch:
                 continue
             while not self._append(batch) and not self._stopping.is_set():
                 self._stopping.wait(_RETRY_SECONDS)
 
-    def _collect(self) -> list[ClaimRecord]:
-        """Return what waits, once the first of it has waited a little."""
+    def _collect_batch(self) -> list[ClaimRecord]:
+        """Wait for a record, then return it with those queued shortly after."""
         first = self._outgoing.get()
         if first is None:
             return []
-        self._stopping.wait(_COMMIT_SECONDS)
+        self._stopping.wait(_BATCH_DELAY_SECONDS)
         batch = [first]
         while len(batch) < _MAX_BATCH:
             try:
@@ -209,16 +209,16 @@
         return batch
 
     def _append(self, batch: list[ClaimRecord]) -> bool:
-        """Append once; tell whether the batch is dealt with.
+        """Append a batch once; return False if the append must be retried.
 
-        Claims that may stand are not appended again: a second copy could come behind
-        its own release and win. What ends a claim may stand twice without harm.
+        Claims that may have been appended are not appended again: a second copy could
+        follow the claim's own release and win. Releases and results are idempotent.
         """
         data = dump_batch(new_record_id(), tuple(batch))
         result = self._log.append(CLAIM_STREAM, data)
         if isinstance(result, Appended):
             return True
-        self._complain(f"claims not appended: {result.reason}")
+        self._on_error(f"failed to append claims: {result.reason}")
         if isinstance(result, NotAppended):
             return False
         batch[:] = [record for record in batch if not isinstance(record, Claim)]
@@ -227,37 +227,37 @@
     def _read(self) -> None:
         while not self._stopping.is_set():
             try:
-                page = self._log.read(CLAIM_STREAM, self._offset, _WAIT_SECONDS)
+                page = self._log.read(CLAIM_STREAM, self._offset, _LONG_POLL_SECONDS)
             except PlatformError as error:
-                self._complain(error.show())
+                self._on_error(error.show())
                 self._stopping.wait(_RETRY_SECONDS)
                 continue
             with self._lock:
-                self._take(page)
+                self._apply_page(page)
                 self._lock.notify_all()
 
-    def _take(self, page: LogPage) -> None:
+    def _apply_page(self, page: LogPage) -> None:
         for record in page.records:
             for item in parse_batch(record.data):
                 self._table.apply(item)
                 if isinstance(item, Claim):
-                    self._resolve(item)
+                    self._resolve_claim(item)
             self._offset = record.offset + 1
 
-    def _release_given_up(self, claim: Claim, entry: Entry) -> None:
+    def _release_abandoned(self, claim: Claim, entry: ClaimEntry) -> None:
         attempt = AttemptId(claim.attempt)
-        if attempt in self._given_up and entry.winner == attempt:
-            self._given_up.discard(attempt)
+        if attempt in self._abandoned and entry.winner == attempt:
+            self._abandoned.discard(attempt)
             self._outgoing.put(Released(key=claim.key, attempt=claim.attempt))
 
-    def _resolve(self, claim: Claim) -> None:
-        """Tell the attempt on this node whether its claim came first."""
+    def _resolve_claim(self, claim: Claim) -> None:
+        """Tell this node's attempt whether its claim was the first."""
         pending = self._pending.get(AttemptId(claim.attempt))
         entry = self._table.get(ClaimKey(claim.key))
         if entry is None:
             return
         if pending is None:
-            self._release_given_up(claim, entry)
+            self._release_abandoned(claim, entry)
             return
         if entry.winner == claim.attempt and entry.state is ClaimState.RUNNING:
             self._settle(pending, Won(pending.deadline))
--- a/src/rudderpass/claims/_records.py
+++ b/src/rudderpass/claims/_records.py
@@ -1,7 +1,7 @@
 """The records of the claim stream.
 
-A claim says that one attempt wants to run the work that a key names. The first claim
-of a key in offset order wins, whoever appended it; nothing else is needed to agree.
+A claim asks to run the work of a key for one attempt. The first claim of a key in
+offset order wins, whichever node appended it, so nodes need no further agreement.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from rudderpass.declarations import Spec
 
 ClaimKey = NewType("ClaimKey", str)
-"""Names one piece of work: a digest over team, route and idempotency key."""
+"""Identifies a piece of work: a digest over team, route and idempotency key."""
 
 AttemptId = NewType("AttemptId", str)
-"""One request that wants to run it; unique over all nodes."""
+"""A request that wants to run the work; unique across nodes."""
 
 
 class Claim(Spec):
     """An attempt wants to run the work of a key.
 
-    :param digest: of the request's body, so that a key is not used for other work.
+    :param digest: of the request body, to detect a key that is reused for other work.
     """
 
     type: Literal["claim"] = "claim"
@@ -33,7 +33,7 @@
 
 
 class Released(Spec):
-    """The claimed work was not run and never will be by this attempt."""
+    """The attempt did not run the claimed work and never will."""
 
     type: Literal["released"] = "released"
     key: str
@@ -41,7 +41,7 @@
 
 
 class Done(Spec):
-    """The claimed work ran, and this was its answer."""
+    """The claimed work ran and returned this response."""
 
     type: Literal["done"] = "done"
     key: str
@@ -59,7 +59,7 @@
 
 
 def dump_batch(batch_id: str, records: tuple[ClaimRecord, ...]) -> bytes:
-    """Return the bytes of one log record; the batch id makes them unique."""
+    """Encode one log record; the batch id makes its bytes unique."""
     values: list[Any] = [
         record.model_dump(mode="json", by_alias=True) for record in records
     ]
@@ -67,7 +67,7 @@
 
 
 def parse_batch(data: bytes) -> tuple[ClaimRecord, ...]:
-    """Return the records in one log record, none if it is not ours."""
+    """Decode one log record; return nothing for a record of another format."""
     try:
         value = json.loads(data)
         return _BATCH.validate_python(value["records"])
--- a/src/rudderpass/claims/_table.py
+++ b/src/rudderpass/claims/_table.py
@@ -1,4 +1,4 @@
-"""What replay of the claim stream says of each key."""
+"""The state of each key, derived by replaying the claim stream."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from rudderpass.claims._records import AttemptId, Claim, ClaimKey, Done, Released
 
 MAX_KEYS = 100_000
-"""Keys remembered; the oldest are forgotten first."""
+"""Keys kept; the oldest are evicted first."""
 
 
 class ClaimState(Enum):
-    """How far the work of a key is."""
+    """The progress of a key's work."""
 
     RUNNING = "running"
     RELEASED = "released"
@@ -22,8 +22,8 @@
 
 
 @dataclass
-class Entry:
-    """One key's winner, and its answer once it is there."""
+class ClaimEntry:
+    """The winner of a key, and its response once the work is done."""
 
     winner: AttemptId
     digest: str
@@ -32,19 +32,19 @@
 
 
 class ClaimTable:
-    """The state machine that every reader of the claim stream runs alike.
+    """The state machine that all readers of the claim stream replay identically.
 
     .. versionadded:: 0.1
     """
 
     def __init__(self) -> None:
-        self._entries: OrderedDict[ClaimKey, Entry] = OrderedDict()
+        self._entries: OrderedDict[ClaimKey, ClaimEntry] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def get(self, key: ClaimKey) -> Entry | None:
-        """Return what is known of a key."""
+    def get(self, key: ClaimKey) -> ClaimEntry | None:
+        """Return the entry of a key."""
         return self._entries.get(key)
 
     def apply(self, record: Claim | Released | Done) -> None:
@@ -53,7 +53,7 @@
 
     @singledispatchmethod
     def _apply(self, record: object) -> None:
-        raise TypeError(f"no rule for {type(record).__name__}")
+        raise TypeError(f"unsupported record type {type(record).__name__}")
 
     @_apply.register
     def _(self, record: Claim) -> None:
@@ -61,26 +61,26 @@
         entry = self._entries.get(key)
         if entry is not None and entry.state is not ClaimState.RELEASED:
             return
-        self._entries[key] = Entry(AttemptId(record.attempt), record.digest)
+        self._entries[key] = ClaimEntry(AttemptId(record.attempt), record.digest)
         self._entries.move_to_end(key)
         if len(self._entries) > MAX_KEYS:
             self._entries.popitem(last=False)
 
     @_apply.register
     def _(self, record: Released) -> None:
-        entry = self._held_by(record.key, record.attempt)
+        entry = self._find_running(record.key, record.attempt)
         if entry is not None:
             entry.state = ClaimState.RELEASED
 
     @_apply.register
     def _(self, record: Done) -> None:
-        entry = self._held_by(record.key, record.attempt)
+        entry = self._find_running(record.key, record.attempt)
         if entry is not None:
             entry.state = ClaimState.DONE
             entry.done = record
 
-    def _held_by(self, key: str, attempt: str) -> Entry | None:
-        """Return the entry if this attempt won it and has not ended."""
+    def _find_running(self, key: str, attempt: str) -> ClaimEntry | None:
+        """Return the entry if this attempt won it and is still running."""
         entry = self._entries.get(ClaimKey(key))
         if entry is None or entry.winner != attempt:
             return None
--- a/src/rudderpass/cli/_base.py
+++ b/src/rudderpass/cli/_base.py
@@ -1,4 +1,4 @@
-"""What all commands share: errors shown to users, JSON output, common options."""
+"""Error handling, JSON output and options that the commands share."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 _F = TypeVar("_F", bound=Callable[..., Any])
 
 
-class Commands(click.Group):
+class CommandGroup(click.Group):
     """A group whose commands may raise :class:`RudderpassError`."""
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run a command; show its errors in one line."""
+        """Run a command and print its error, if any, in one line."""
         try:
             return super().invoke(ctx)
         except RudderpassError as error:
@@ -26,13 +26,13 @@
             ctx.exit(error.exit_code)
 
 
-def quiet_libraries() -> None:
-    """Keep the HTTP library's own log lines off the terminal."""
+def silence_library_logs() -> None:
+    """Keep the log lines of the HTTP library off the terminal."""
     logging.getLogger("waitress").setLevel(logging.CRITICAL)
 
 
 def print_json(value: object) -> None:
-    """Print a value for a script."""
+    """Print a value as JSON, for scripts."""
     click.echo(json.dumps(value, default=str))
 
 
@@ -56,7 +56,7 @@
 
 
 def admin_option(command: _F) -> _F:
-    """Add ``--admin``, which may be given several times."""
+    """Add the repeatable option ``--admin``."""
     return click.option(
         "--admin",
         "admins",
--- a/src/rudderpass/cli/_bench.py
+++ b/src/rudderpass/cli/_bench.py
@@ -1,4 +1,4 @@
-"""Commands for measurements: stand-ins of their own, and load."""
+"""Commands for benchmarks: stand-in services and load generators."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     percentile,
     run_streams,
 )
-from rudderpass.cli._base import json_option, print_json, quiet_libraries
-from rudderpass.cli._nodes import read_status
+from rudderpass.cli._base import json_option, print_json, silence_library_logs
+from rudderpass.cli._nodes import fetch_status
 from rudderpass.demo import World
 from rudderpass.standins import EngineSpeed, StandInEngine
 
-_MICRO = 1e6
-_MILLI = 1e3
+_MICROS_PER_SECOND = 1e6
+_MILLIS_PER_SECOND = 1e3
 
 
 @click.command("standin-platform")
@@ -37,11 +37,11 @@
     "--info",
     type=click.Path(dir_okay=False, path_type=Path),
     required=True,
-    help="Write the addresses there, as JSON, once everything runs.",
+    help="Write the addresses to this file, as JSON, once everything runs.",
 )
 def standin_platform(directory: Path, info: Path) -> None:
-    """Run a log service and a host list until a signal; publish DIRECTORY."""
-    quiet_libraries()
+    """Publish DIRECTORY and run a log service and a host list until a signal."""
+    silence_library_logs()
     world = World(directory, nodes=0, seed=0, own_upstreams=False)
     world.start()
     addresses = {"log_service": world.log.address, "host_list": world.hosts.address}
@@ -55,8 +55,8 @@
 @click.option("--gap", type=float, default=0.02, show_default=True)
 @click.option("--slots", type=int, default=8, show_default=True)
 def standin_engine(listen: str, gap: float, slots: int) -> None:
-    """Run one engine stand-in until a signal."""
-    quiet_libraries()
+    """Run one stand-in engine until a signal."""
+    silence_library_logs()
     engine = StandInEngine(EngineSpeed(gap, slots), listen)
     engine.start()
     _wait_for_signal()
@@ -115,15 +115,15 @@
     ramp: float,
     as_json: bool,
 ) -> None:
-    """Compare streams through a node with the engine asked directly."""
+    """Compare streams through a node with streams directly from the engines."""
     rows = []
     for count in streams:
         for path, addresses in (("direct", direct), ("through", (through,))):
             load = StreamLoad(addresses, token, model, count, tokens, ramp)
-            before = float(read_status(admin)["cpu_seconds"])
+            before = float(fetch_status(admin)["cpu_seconds"])
             times = run_streams(load)
-            used = float(read_status(admin)["cpu_seconds"]) - before
-            row = _figures(path, load, times, used)
+            cpu_seconds = float(fetch_status(admin)["cpu_seconds"]) - before
+            row = _build_figures(path, load, times, cpu_seconds)
             rows.append(row)
             if not as_json:
                 _print_row(row, is_first=len(rows) == 1)
@@ -131,16 +131,20 @@
         print_json([asdict(row) for row in rows])
 
 
-def _figures(
-    path: str, load: StreamLoad, times: StreamTimes, used: float
+def _build_figures(
+    path: str, load: StreamLoad, times: StreamTimes, cpu_seconds: float
 ) -> StreamFigures:
-    def delay(share: float) -> float:
-        return percentile(times.delays, share) * _MILLI
+    def delay(quantile: float) -> float:
+        return percentile(times.delays, quantile) * _MILLIS_PER_SECOND
 
-    def gap(share: float) -> float:
-        return percentile(times.gaps, share) * _MILLI
+    def gap(quantile: float) -> float:
+        return percentile(times.gaps, quantile) * _MILLIS_PER_SECOND
 
-    cpu = used * _MICRO / max(1, times.tokens) if path == "through" else 0.0
+    cpu = (
+        cpu_seconds * _MICROS_PER_SECOND / max(1, times.tokens)
+        if path == "through"
+        else 0.0
+    )
     return StreamFigures(
         path=path,
         streams=load.streams,
@@ -151,7 +155,7 @@
         gap_p50=gap(0.5),
         gap_p95=gap(0.95),
         gap_p99=gap(0.99),
-        first_p95=percentile(times.first_tokens, 0.95) * _MILLI,
+        first_p95=percentile(times.first_tokens, 0.95) * _MILLIS_PER_SECOND,
         cpu_us_per_token=cpu,
         incomplete=times.incomplete,
     )
@@ -183,11 +187,11 @@
 @click.option("--seconds", type=int, default=5, show_default=True)
 @json_option
 def bench_control(nodes: tuple[int, ...], seconds: int, as_json: bool) -> None:
-    """Measure what control costs one node, for several numbers of nodes.
+    """Measure the cost of the control plane for one node at several cluster sizes.
 
-    Runners, engines and requests grow with the nodes; teams and models do not.
+    Runners, engines and requests scale with the nodes; teams and models do not.
     """
-    costs = list(measure_control([_scaled(count, seconds) for count in nodes]))
+    costs = list(measure_control([_scale_size(count, seconds) for count in nodes]))
     messages = measure_messages(_MESSAGES)
     if as_json:
         print_json(
@@ -204,12 +208,12 @@
     for cost in costs:
         _print_cost(cost, messages)
     click.echo(
-        f"one call costs {messages.call * _MICRO:.0f} us, one datagram "
-        f"{messages.datagram * _MICRO:.0f} us, both sides together"
+        f"one call costs {messages.call * _MICROS_PER_SECOND:.0f} us, one datagram "
+        f"{messages.datagram * _MICROS_PER_SECOND:.0f} us, both sides together"
     )
 
 
-def _scaled(nodes: int, seconds: int) -> SystemSize:
+def _scale_size(nodes: int, seconds: int) -> SystemSize:
     share = nodes / _LARGE.nodes
     return SystemSize(
         nodes=nodes,
--- a/src/rudderpass/cli/_declarations.py
+++ b/src/rudderpass/cli/_declarations.py
@@ -16,14 +16,14 @@
     log_service_option,
     print_json,
 )
-from rudderpass.cli._nodes import wait_in_force
+from rudderpass.cli._nodes import wait_for_version
 from rudderpass.declarations import (
     Catalog,
+    ChangeOutcome,
     Difference,
     Finding,
     ObjectKey,
-    Verdict,
-    compare,
+    diff_state,
     dump_spec,
     load_declarations,
 )
@@ -76,9 +76,9 @@
 @json_option
 def diff(directory: Path, log_service: str, as_json: bool) -> None:
     """Show what applying DIRECTORY would change."""
-    wanted = _load(directory)
+    desired = _load(directory)
     state = _publisher(log_service).history().state
-    differences = compare(state, wanted)
+    differences = diff_state(state, desired)
     if as_json:
         print_json(
             {
@@ -88,12 +88,12 @@
         )
         return
     for item in differences:
-        click.echo(f"{_SIGNS[item.step.value]} {item.key}")
+        click.echo(f"{_SIGNS[item.action.value]} {item.key}")
     click.echo(f"{len(differences)} changes against version {state.version}")
 
 
 def _dump_difference(difference: Difference) -> dict[str, str]:
-    return {"step": difference.step.value, "object": str(difference.key)}
+    return {"step": difference.action.value, "object": str(difference.key)}
 
 
 @click.command()
@@ -105,7 +105,7 @@
     show_envvar=True,
     default=getpass.getuser,
     show_default="the user's name",
-    help="Who makes the change; shown to whoever races it.",
+    help="Author of the change, shown to operators whose changes conflict with it.",
 )
 @click.option(
     "--wait",
@@ -125,20 +125,20 @@
     as_json: bool,
 ) -> None:
     """Publish the declarations in DIRECTORY; return once they are accepted."""
-    wanted = _load(directory)
-    result = _publisher(log_service).apply(wanted, author)
+    desired = _load(directory)
+    result = _publisher(log_service).apply(desired, author)
     if isinstance(result, Failure):
         raise result.failure()
     applied = result.unwrap()
     version = int(applied.state.version)
     if wait:
-        wait_in_force(admins, version, wait)
+        wait_for_version(admins, version, wait)
     if as_json:
-        print_json({"version": version, "changed": applied.verdict is not None})
-    elif applied.verdict is None:
+        print_json({"version": version, "changed": applied.outcome is not None})
+    elif applied.outcome is None:
         click.echo(f"nothing to change, version {version} is in force")
     else:
-        changed = len(applied.verdict.keys)
+        changed = len(applied.outcome.keys)
         click.echo(f"version {version} accepted, {changed} objects changed")
 
 
@@ -171,11 +171,13 @@
             ]
         )
         return
-    documents = [_document(key, dump_spec(entry.spec)) for key, entry in found.items()]
+    documents = [
+        _dump_document(key, dump_spec(entry.spec)) for key, entry in found.items()
+    ]
     click.echo("---\n".join(documents), nl=False)
 
 
-def _document(key: ObjectKey, spec: dict[str, object]) -> str:
+def _dump_document(key: ObjectKey, spec: dict[str, object]) -> str:
     value = {"kind": key.kind_value, "name": key.name, "spec": spec}
     return yaml.safe_dump(value, sort_keys=False)
 
@@ -186,35 +188,35 @@
 @json_option
 def history(log_service: str, limit: int, as_json: bool) -> None:
     """Show the latest changes and whether each was accepted."""
-    verdicts = _publisher(log_service).history().verdicts[-limit:]
+    outcomes = _publisher(log_service).history().outcomes[-limit:]
     if as_json:
-        print_json([_dump_verdict(verdict) for verdict in verdicts])
+        print_json([_dump_outcome(outcome) for outcome in outcomes])
         return
-    for verdict in verdicts:
-        word = "accepted" if verdict.accepted else "refused"
-        names = ", ".join(str(key) for key in verdict.keys[:4])
-        more = f" and {len(verdict.keys) - 4} more" if len(verdict.keys) > 4 else ""
+    for outcome in outcomes:
+        word = "accepted" if outcome.accepted else "refused"
+        names = ", ".join(str(key) for key in outcome.keys[:4])
+        more = f" and {len(outcome.keys) - 4} more" if len(outcome.keys) > 4 else ""
         click.echo(
-            f"version {verdict.version} {word}, by {verdict.author}: {names}{more}"
+            f"version {outcome.version} {word}, by {outcome.author}: {names}{more}"
         )
-        for conflict in verdict.conflicts:
+        for conflict in outcome.conflicts:
             click.echo(f"    {conflict.show()}")
 
 
-def _dump_verdict(verdict: Verdict) -> dict[str, object]:
+def _dump_outcome(outcome: ChangeOutcome) -> dict[str, object]:
     return {
-        "version": verdict.version,
-        "change": verdict.change_id,
-        "author": verdict.author,
-        "accepted": verdict.accepted,
-        "objects": [str(key) for key in verdict.keys],
-        "conflicts": [conflict.show() for conflict in verdict.conflicts],
+        "version": outcome.version,
+        "change": outcome.change_id,
+        "author": outcome.author,
+        "accepted": outcome.accepted,
+        "objects": [str(key) for key in outcome.keys],
+        "conflicts": [conflict.show() for conflict in outcome.conflicts],
     }
 
 
 @click.command()
 @log_service_option
 def snapshot(log_service: str) -> None:
-    """Write the configuration in force again, so that older records may go."""
+    """Write a snapshot of the configuration, so that older records may expire."""
     version = _publisher(log_service).write_snapshot()
     click.echo(f"snapshot of version {version} written")
--- a/src/rudderpass/cli/_demo.py
+++ b/src/rudderpass/cli/_demo.py
@@ -9,7 +9,7 @@
 
 import click
 
-from rudderpass.cli._base import json_option, print_json, quiet_libraries
+from rudderpass.cli._base import json_option, print_json, silence_library_logs
 from rudderpass.demo import DemoOptions, World, render, run_demo, token_of
 from rudderpass.errors import PromiseBroken, SettingsError
 from rudderpass.observe import LogFile
@@ -39,17 +39,17 @@
 @click.option(
     "--log-file",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write the nodes' structured logs there.",
+    help="Write the structured logs of the nodes to this file.",
 )
 @click.option(
     "--faults",
     is_flag=True,
-    help="Also crash an engine, pause a node, and let the log fail.",
+    help="Also crash an engine, pause a node and make the log service fail.",
 )
 @click.option(
     "--serve",
     is_flag=True,
-    help="Keep everything running until a signal, for a client of your own.",
+    help="Serve until a signal, for use with your own client.",
 )
 @json_option
 def demo(
@@ -61,14 +61,16 @@
     serve: bool,
     as_json: bool,
 ) -> None:
-    """Run a small deployment in one process and check every answer.
+    """Run a small deployment in one process and check every response.
 
-    The exit status is 3 if any promise broke.
+    The exit status is 3 if any promise was broken.
     """
     directory = examples / profile
     if not directory.is_dir():
-        raise SettingsError(f"--examples: {directory} is not there", step="settings")
-    quiet_libraries()
+        raise SettingsError(
+            f"--examples: {directory} is not a directory", step="settings"
+        )
+    silence_library_logs()
     destination = LogFile(log_file) if log_file is not None else None
     if destination is not None:
         destination.open()
--- a/src/rudderpass/cli/_logs.py
+++ b/src/rudderpass/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Reading the structured logs of one or many processes."""
+"""The logs command: reads the structured logs of one or more processes."""
 
 from __future__ import annotations
 
@@ -22,29 +22,27 @@
     render_story,
 )
 
-SHOWN_REQUESTS = 3
-"""Request ids shown for each cause; the rest is counted."""
+MAX_SHOWN_REQUESTS = 3
+"""Request ids printed for each cause; further ones are only counted."""
 
 
 @click.command()
 @click.argument(
     "files", nargs=-1, type=click.File("r", encoding="utf-8"), default=["-"]
 )
-@click.option("--request", help="Only the lines about this request id.")
-@click.option(
-    "--failed", is_flag=True, help="Count the requests that ended badly, by cause."
-)
+@click.option("--request", help="Show only the lines about this request id.")
+@click.option("--failed", is_flag=True, help="Count the failed requests by cause.")
 @click.option(
     "--crashes",
     is_flag=True,
-    help="Tell which upstreams crashed, and under which requests.",
+    help="Show which upstreams crashed, and which requests they were running.",
 )
 @click.option(
     "--upstream",
-    help="Tell what this upstream ran, what waited there and what stood still.",
+    help="Show the requests that ran, waited or were paused at this upstream.",
 )
 @click.option(
-    "--at", type=float, help="The moment for --upstream, as in the lines' timestamp."
+    "--at", type=float, help="The time for --upstream, as in the lines' timestamp."
 )
 def logs(
     files: tuple[TextIO, ...],
@@ -56,9 +54,9 @@
 ) -> None:
     """Render structured logs readably, from FILES or standard input.
 
-    The lines of several processes are put in time's order where --request, --failed,
-    --crashes or --upstream is given. Words before a line's object, as a collector may
-    write them, are allowed.
+    Lines of several processes are sorted by time if --request, --failed, --crashes or
+    --upstream is given. Each line may have a prefix before its JSON object, as log
+    collectors add it.
     """
     if sum((request is not None, failed, crashes, upstream is not None)) > 1:
         raise SettingsError(
@@ -66,7 +64,7 @@
             step="logs",
         )
     if (upstream is None) is not (at is None):
-        raise SettingsError("--upstream and --at go together", step="logs")
+        raise SettingsError("--upstream and --at must be given together", step="logs")
     if failed:
         _show_failures(files)
     elif crashes:
@@ -90,13 +88,13 @@
 def _show_failures(files: tuple[TextIO, ...]) -> None:
     groups = find_failures(_read_all(files))
     for group in groups:
-        shown = " ".join(group.requests[:SHOWN_REQUESTS])
+        shown = " ".join(group.requests[:MAX_SHOWN_REQUESTS])
         click.echo(
             f"{len(group.requests):5} {group.ending} {group.status} {group.cause}"
         )
         click.echo(f"      {shown}")
     total = sum(len(group.requests) for group in groups)
-    click.echo(f"{total} requests ended badly, for {len(groups)} causes")
+    click.echo(f"{total} requests failed, with {len(groups)} causes")
 
 
 def _show_crashes(files: tuple[TextIO, ...]) -> None:
@@ -121,10 +119,10 @@
     occupancy = find_occupancy(_read_all(files), upstream, at)
     counts: Counter[tuple[int, int, int | None, OccupantState]] = Counter()
     tokens: Counter[tuple[int, int, int | None, OccupantState]] = Counter()
-    for one in occupancy.occupants:
-        key = (one.rank, one.route_tier, one.team_tier, one.state)
+    for occupant in occupancy.occupants:
+        key = (occupant.rank, occupant.route_tier, occupant.team_tier, occupant.state)
         counts[key] += 1
-        tokens[key] += one.tokens
+        tokens[key] += occupant.tokens
     for key in sorted(counts, key=lambda key: (key[0], key[1], key[3].value)):
         rank, route_tier, team_tier, state = key
         team = "none" if team_tier is None else team_tier
@@ -133,6 +131,6 @@
             f" team_tier={team} tokens={tokens[key]}"
         )
     click.echo(
-        f"{len(occupancy.occupants)} requests at {upstream}; the last choice believed"
-        f" {occupancy.under_way} under way, slots {occupancy.slots}"
+        f"{len(occupancy.occupants)} requests at {upstream}; last routing estimate:"
+        f" {occupancy.under_way} in flight, slots {occupancy.slots}"
     )
--- a/src/rudderpass/cli/_main.py
+++ b/src/rudderpass/cli/_main.py
@@ -4,7 +4,7 @@
 
 import click
 
-from rudderpass.cli._base import Commands
+from rudderpass.cli._base import CommandGroup
 from rudderpass.cli._bench import (
     bench_control,
     bench_streams,
@@ -20,7 +20,7 @@
 from rudderpass.host._command import host
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=CommandGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="rudderpass")
 def main() -> None:
     """Route language-model traffic by declared classes, teams and labels.
--- a/src/rudderpass/cli/_nodes.py
+++ b/src/rudderpass/cli/_nodes.py
@@ -1,4 +1,4 @@
-"""Commands over running nodes: node, status."""
+"""Commands that run and inspect nodes: node, status."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     json_option,
     log_service_option,
     print_json,
-    quiet_libraries,
+    silence_library_logs,
 )
 from rudderpass.errors import PeerError, SettingsError
 from rudderpass.node import Node, NodeSettings, read_keys
 from rudderpass.observe import LogFile
 from rudderpass.webserver import ServerLimits
 
-_STATUS_TIMEOUT = 3.0
+_STATUS_TIMEOUT_SECONDS = 3.0
 _POLL_SECONDS = 0.1
 _FILE = click.Path(dir_okay=False, path_type=Path)
 
@@ -39,7 +39,7 @@
     default="127.0.0.1:8080",
     show_default=True,
     metavar="IP:PORT",
-    help="Where callers reach the node.",
+    help="Address on which callers reach the node.",
 )
 @click.option(
     "--admin",
@@ -48,7 +48,7 @@
     default="127.0.0.1:8081",
     show_default=True,
     metavar="IP:PORT",
-    help="Liveness, readiness, metrics and status.",
+    help="Address for liveness, readiness, metrics and status.",
 )
 @click.option(
     "--peer",
@@ -56,7 +56,7 @@
     show_envvar=True,
     required=True,
     metavar="IP:PORT",
-    help="Where other nodes reach it; also the node's id.",
+    help="Address on which other nodes reach the node; also its id.",
 )
 @click.option(
     "--zone",
@@ -72,20 +72,20 @@
     show_envvar=True,
     required=True,
     metavar="IP:PORT",
-    help="The platform's list of hosts.",
+    help="The platform's host list.",
 )
 @click.option(
     "--peer-secret",
     envvar="RUDDERPASS_PEER_SECRET",
     show_envvar=True,
-    help="The deployment's secrets, newest first, with commas between.",
+    help="The deployment's secrets, comma-separated, newest first.",
 )
 @click.option(
     "--peer-secret-file",
     envvar="RUDDERPASS_PEER_SECRET_FILE",
     show_envvar=True,
     type=_FILE,
-    help="A file of secrets, one a line, read again when it changes.",
+    help="A file with one secret per line, reloaded when it changes.",
 )
 @click.option(
     "--threads",
@@ -94,7 +94,7 @@
     type=int,
     default=384,
     show_default=True,
-    help="Requests that may wait or run at once, plus headroom.",
+    help="Maximum number of waiting and running requests, plus headroom.",
 )
 @click.option(
     "--max-body-bytes",
@@ -103,7 +103,7 @@
     type=click.IntRange(min=1024),
     default=8 * 1024 * 1024,
     show_default=True,
-    help="The largest request body.",
+    help="Maximum size of a request body.",
 )
 @click.option(
     "--upstream-timeout",
@@ -113,7 +113,7 @@
     default=60.0,
     show_default=True,
     metavar="SECONDS",
-    help="Silence after which an exchange with an upstream has failed.",
+    help="Time without data after which an exchange with an upstream fails.",
 )
 @click.option(
     "--stop-seconds",
@@ -123,7 +123,7 @@
     default=600.0,
     show_default=True,
     metavar="SECONDS",
-    help="The longest that a planned stop waits for requests in flight.",
+    help="Maximum time that a graceful stop waits for requests in flight.",
 )
 @click.option(
     "--snapshot-seconds",
@@ -133,14 +133,14 @@
     default=3600.0,
     show_default=True,
     metavar="SECONDS",
-    help="How old the newest snapshot may be; well below the log's retention.",
+    help="Maximum age of the newest snapshot; well below the log's retention.",
 )
 @click.option(
     "--log-file",
     envvar="RUDDERPASS_LOG_FILE",
     show_envvar=True,
     type=_FILE,
-    help="Write structured logs there instead of standard error.",
+    help="Write structured logs to this file instead of standard error.",
 )
 def node(
     listen: str,
@@ -158,10 +158,10 @@
     snapshot_seconds: float,
     log_file: Path | None,
 ) -> None:
-    """Run one node until it is told to stop.
+    """Run one node until it is stopped.
 
-    SIGTERM or SIGINT begins a planned stop, which cuts nothing in flight; a second
-    one ends it and says what it cuts.
+    SIGTERM or SIGINT starts a graceful stop, which drains the requests in flight; a
+    second signal ends it at once and reports how many requests it cut off.
     """
     settings = NodeSettings(
         listen=listen,
@@ -177,7 +177,7 @@
         snapshot_seconds=snapshot_seconds,
     )
     settings.check()
-    quiet_libraries()
+    silence_library_logs()
     destination = LogFile(log_file)
     destination.open()
     try:
@@ -189,19 +189,19 @@
 
 
 def _run_until_stopped(running: Node) -> None:
-    asked = threading.Event()
+    stop_requested = threading.Event()
 
     def on_signal(number: int, frame: FrameType | None) -> None:
-        if asked.is_set():
+        if stop_requested.is_set():
             cut = running.cut_short()
-            click.echo(f"stopping now, which cuts {cut} requests", err=True)
-        asked.set()
+            click.echo(f"stopping now, {cut} requests are cut off", err=True)
+        stop_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_signal)
     running.start()
     click.echo(f"listening on {running.address}", err=True)
-    while not asked.wait(_POLL_SECONDS):
+    while not stop_requested.wait(_POLL_SECONDS):
         pass
     stopper = threading.Thread(target=running.stop, name="stop")
     stopper.start()
@@ -209,27 +209,27 @@
         stopper.join(_POLL_SECONDS)
 
 
-def read_status(admin: str) -> dict[str, Any]:
-    """Return one node's status.
+def fetch_status(admin: str) -> dict[str, Any]:
+    """Fetch the status of one node.
 
     :raises PeerError: when the node does not answer.
     """
-    connection = http.client.HTTPConnection(admin, timeout=_STATUS_TIMEOUT)
+    connection = http.client.HTTPConnection(admin, timeout=_STATUS_TIMEOUT_SECONDS)
     try:
         connection.request("GET", "/status")
         value: dict[str, Any] = json.loads(connection.getresponse().read())
         return value
     except (OSError, http.client.HTTPException, ValueError) as error:
-        text = f"the node does not answer: {error}"
+        text = f"the node did not answer: {error}"
         raise PeerError(text, step="status", peer=admin) from error
     finally:
         connection.close()
 
 
-def wait_in_force(admins: Sequence[str], version: int, seconds: float) -> None:
-    """Wait until every node has at least ``version`` in force.
+def wait_for_version(admins: Sequence[str], version: int, seconds: float) -> None:
+    """Wait until ``version`` or a later one is in force on every node.
 
-    :raises PeerError: naming the nodes that do not have it in time.
+    :raises PeerError: with the nodes on which it is not in force in time.
     """
     if not admins:
         raise SettingsError("--wait needs the nodes' --admin addresses", step="wait")
@@ -247,7 +247,7 @@
 
 def _has_version(admin: str, version: int) -> bool:
     try:
-        return bool(read_status(admin)["config_version"] >= version)
+        return bool(fetch_status(admin)["config_version"] >= version)
     except PeerError:
         return False
 
@@ -256,10 +256,10 @@
 @admin_option
 @json_option
 def status(admins: tuple[str, ...], as_json: bool) -> None:
-    """Show the nodes at the given admin addresses."""
+    """Show the status of the nodes at the given admin addresses."""
     if not admins:
         raise SettingsError("--admin must be given", step="status")
-    rows = [read_status(admin) for admin in admins]
+    rows = [fetch_status(admin) for admin in admins]
     if as_json:
         print_json(rows)
         return
--- a/src/rudderpass/cli/_quarantine.py
+++ b/src/rudderpass/cli/_quarantine.py
@@ -1,4 +1,4 @@
-"""Commands over the requests that hosts have quarantined."""
+"""Commands that list and lift the quarantine of requests at hosts."""
 
 from __future__ import annotations
 
@@ -16,48 +16,48 @@
 
 @click.group()
 def quarantine() -> None:
-    """See and lift the quarantine of requests that crashed upstreams."""
+    """List and lift the quarantine of requests that crashed upstreams."""
 
 
 @quarantine.command("list")
 @click.argument("host", metavar="IP:PORT")
 @json_option
 def list_quarantined(host: str, as_json: bool) -> None:
-    """List what the host with this metrics address has quarantined."""
-    listed = json.loads(_call(host, "GET", QUARANTINE_PATH))
+    """List the requests quarantined by the host with this metrics address."""
+    items = json.loads(_request(host, "GET", QUARANTINE_PATH))
     if as_json:
-        print_json(listed)
+        print_json(items)
         return
-    for item in listed:
+    for item in items:
         click.echo(
             f"{item['fingerprint']} team {item['team'] or 'none'},"
             f" {item['seconds_left']:.0f} s left, crashed"
             f" {' '.join(item['upstreams'])}"
         )
-    click.echo(f"{len(listed)} requests are quarantined")
+    click.echo(f"{len(items)} requests are quarantined")
 
 
 @quarantine.command()
 @click.argument("host", metavar="IP:PORT")
 @click.argument("fingerprint")
 def lift(host: str, fingerprint: str) -> None:
-    """Release a request at all hosts; this one tells the others."""
+    """Lift a request's quarantine; the given host notifies all others."""
     query = f"{LIFT_PATH}?fingerprint={fingerprint}"
-    click.echo(_call(host, "POST", query).strip())
+    click.echo(_request(host, "POST", query).strip())
 
 
-def _call(host: str, method: str, path: str) -> str:
-    """Return a host's answer.
+def _request(host: str, method: str, path: str) -> str:
+    """Send a request to a host and return the response body.
 
-    :raises PeerError: when it does not answer, or answers that it cannot.
+    :raises PeerError: when the host does not answer, or answers with an error.
     """
     try:
         connection = http.client.HTTPConnection(host, timeout=_TIMEOUT_SECONDS)
         connection.request(method, path)
-        reply = connection.getresponse()
-        text = reply.read().decode()
+        response = connection.getresponse()
+        text = response.read().decode()
     except (OSError, ValueError, http.client.HTTPException) as error:
         raise PeerError(f"no answer: {error}", step="quarantine", peer=host) from error
-    if reply.status != http.client.OK:
+    if response.status != http.client.OK:
         raise PeerError(text.strip(), step="quarantine", peer=host)
     return text
--- a/src/rudderpass/cli/_replay.py
+++ b/src/rudderpass/cli/_replay.py
@@ -1,4 +1,4 @@
-"""Commands over traces: replay and make-trace."""
+"""Commands on traces: replay, make-trace and compare-policies."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     dump_line,
     generate,
     read_trace,
-    replay as play,
+    replay as run_replay,
 )
 
 _DIRECTORY = click.Path(exists=True, file_okay=False, path_type=Path)
@@ -59,9 +59,9 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Play TRACE through the real decisions in virtual time."""
+    """Replay TRACE through the production routing logic in virtual time."""
     options = ClusterOptions(Policy(policy), nodes, seed)
-    result = play(_load(declarations), read_trace(trace), options)
+    result = run_replay(_load(declarations), read_trace(trace), options)
     if as_json:
         print_json(result.as_json())
         return
@@ -93,13 +93,13 @@
 @click.option("--declarations", type=_DIRECTORY, required=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--skewed", is_flag=True, help="Most requests enter through a quarter of nodes."
+    "--skewed", is_flag=True, help="Send most requests to a quarter of the nodes."
 )
-@click.option("--scale", type=float, default=1.0, help="Multiplies all times.")
+@click.option("--scale", type=float, default=1.0, help="Factor applied to all times.")
 def make_trace(
     kind: str, declarations: Path, seed: int, skewed: bool, scale: float
 ) -> None:
-    """Print a seeded trace, sized by what the declared engines can serve."""
+    """Print a seeded trace, sized to the capacity of the declared engines."""
     catalog = _load(declarations)
     for line in generate(catalog, TraceKind(kind), seed, skewed, scale):
         click.echo(dump_line(line))
@@ -125,13 +125,13 @@
     skewed: bool,
     policies: tuple[str, ...],
 ) -> None:
-    """Compare policies over seeds; figures are median (lowest-highest)."""
-    wanted = [Policy(name) for name in policies] or list(Policy)
-    numbers = tuple(range(1, seeds + 1))
-    comparison = Comparison(TraceKind(kind), nodes, numbers, skewed)
+    """Compare policies over several seeds; figures are median (min-max)."""
+    chosen = [Policy(name) for name in policies] or list(Policy)
+    seed_numbers = tuple(range(1, seeds + 1))
+    comparison = Comparison(TraceKind(kind), nodes, seed_numbers, skewed)
     arrivals = "skewed" if skewed else "even"
     click.echo(f"{kind}, {nodes} nodes, {arrivals} arrivals, seeds 1 to {seeds}")
-    for row in compare_policies(_load(declarations), comparison, wanted):
+    for row in compare_policies(_load(declarations), comparison, chosen):
         click.echo(_render_row(row))
 
 
--- a/src/rudderpass/core/_matching.py
+++ b/src/rudderpass/core/_matching.py
@@ -37,7 +37,7 @@
     if team is None:
         text = f"team {submission.team} is not declared any more"
         return reject(RefusalKind.UNKNOWN_TEAM, text)
-    name = submission.service_class or ClassName(team.class_by_default)
+    name = submission.service_class or ClassName(team.effective_default_class)
     service_class = catalog.classes.get(name)
     if service_class is None:
         return reject(RefusalKind.UNKNOWN_CLASS, f"class {name!r} is not declared")
--- a/src/rudderpass/declarations/__init__.py
+++ b/src/rudderpass/declarations/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations: objects, selectors, files, and the version in force."""
+"""Declarations: objects, selectors, files and the configuration in force."""
 
 from rudderpass.declarations._base import Spec as Spec
 from rudderpass.declarations._catalog import (
@@ -8,11 +8,11 @@
 )
 from rudderpass.declarations._config_state import (
     Change as Change,
+    ChangeOutcome as ChangeOutcome,
     ConfigState as ConfigState,
     Conflict as Conflict,
     Operation as Operation,
     Snapshot as Snapshot,
-    Verdict as Verdict,
     apply_record as apply_record,
     dump_record as dump_record,
     dump_spec as dump_spec,
@@ -21,10 +21,10 @@
     take_snapshot as take_snapshot,
 )
 from rudderpass.declarations._diff import (
+    DiffAction as DiffAction,
     Difference as Difference,
-    Step as Step,
     build_change as build_change,
-    compare as compare,
+    diff_state as diff_state,
 )
 from rudderpass.declarations._load import (
     Finding as Finding,
--- a/src/rudderpass/declarations/_catalog.py
+++ b/src/rudderpass/declarations/_catalog.py
@@ -1,4 +1,4 @@
-"""The declared objects of one configuration version, ready for lookups."""
+"""The declared objects of one configuration version, indexed for lookups."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, order=True)
 class ObjectKey:
-    """Names one object. Sorts by kind, then by name."""
+    """Identifies an object. Sorts by kind, then by name."""
 
     kind_value: str
     name: str
@@ -42,11 +42,11 @@
 
 @dataclass(frozen=True)
 class Reference:
-    """A name in one object that must exist as another object."""
+    """A reference from one object to a name that must be declared."""
 
     source: ObjectKey
     path: tuple[str | int, ...]
-    wanted: str
+    target: str
     hint: str
 
 
@@ -56,7 +56,7 @@
 
     objects: Mapping[ObjectKey, AnySpec] = field(default_factory=dict)
 
-    def _of(self, kind: Kind, spec_type: type[_SpecT]) -> dict[str, _SpecT]:
+    def _specs_of_kind(self, kind: Kind, spec_type: type[_SpecT]) -> dict[str, _SpecT]:
         return {
             key.name: cast(_SpecT, spec)
             for key, spec in sorted(self.objects.items(), key=lambda item: item[0])
@@ -66,18 +66,18 @@
     @cached_property
     def classes(self) -> dict[ClassName, ServiceClassSpec]:
         """Service classes by name."""
-        found = self._of(Kind.SERVICE_CLASS, ServiceClassSpec)
+        found = self._specs_of_kind(Kind.SERVICE_CLASS, ServiceClassSpec)
         return cast(dict[ClassName, ServiceClassSpec], found)
 
     @cached_property
     def teams(self) -> dict[TeamId, TeamSpec]:
         """Teams by name."""
-        return cast(dict[TeamId, TeamSpec], self._of(Kind.TEAM, TeamSpec))
+        return cast(dict[TeamId, TeamSpec], self._specs_of_kind(Kind.TEAM, TeamSpec))
 
     @cached_property
     def routes(self) -> dict[str, RouteSpec]:
         """Routes by name."""
-        return self._of(Kind.ROUTE, RouteSpec)
+        return self._specs_of_kind(Kind.ROUTE, RouteSpec)
 
     @cached_property
     def routes_by_model(self) -> dict[str, dict[str, RouteSpec]]:
@@ -96,18 +96,18 @@
     @cached_property
     def upstreams(self) -> dict[UpstreamId, UpstreamSpec]:
         """Upstreams by name."""
-        found = self._of(Kind.UPSTREAM, UpstreamSpec)
+        found = self._specs_of_kind(Kind.UPSTREAM, UpstreamSpec)
         return cast(dict[UpstreamId, UpstreamSpec], found)
 
     @cached_property
     def selectors(self) -> dict[str, SelectorSpec]:
         """Selectors by name."""
-        return self._of(Kind.SELECTOR, SelectorSpec)
+        return self._specs_of_kind(Kind.SELECTOR, SelectorSpec)
 
     @cached_property
     def objective(self) -> ObjectiveSpec:
         """The deployment's objective; equal weights when none is declared."""
-        declared = self._of(Kind.OBJECTIVE, ObjectiveSpec)
+        declared = self._specs_of_kind(Kind.OBJECTIVE, ObjectiveSpec)
         return next(iter(declared.values()), ObjectiveSpec())
 
     @cached_property
@@ -119,7 +119,7 @@
 
     @cached_property
     def pools(self) -> dict[PoolId, dict[UpstreamId, UpstreamSpec]]:
-        """Upstreams by the runner they belong to."""
+        """Upstreams by runner."""
         pools: dict[PoolId, dict[UpstreamId, UpstreamSpec]] = {}
         for name, spec in self.upstreams.items():
             pools.setdefault(PoolId(spec.runner), {})[name] = spec
@@ -136,7 +136,7 @@
     def find_team(self, token: str) -> TeamId | None:
         """Return the team that holds ``token``.
 
-        The lookup is by digest, so its timing tells nothing of a stored token;
+        The lookup is by digest, so its timing reveals nothing about a stored token;
         the digest itself is compared in constant time.
         """
         digest = digest_token(token)
@@ -149,7 +149,7 @@
         return team
 
     def references(self) -> Iterable[Reference]:
-        """Yield every name that one object uses for another."""
+        """Yield all references to objects that are not declared."""
         for team, spec in self.teams.items():
             source = ObjectKey(Kind.TEAM.value, team)
             for position, name in enumerate(spec.classes):
--- a/src/rudderpass/declarations/_config_state.py
+++ b/src/rudderpass/declarations/_config_state.py
@@ -1,9 +1,9 @@
-"""Which configuration is in force, decided alike on every node by replay.
+"""The configuration in force, which every node derives by replaying the log.
 
-A change names, for each object, the version that it was made against. Records
-are replayed in offset order: a change whose versions still stand is accepted as
-a whole, and any other is refused as a whole. Nothing else has a say, so all
-nodes that have read the same records hold the same configuration.
+A change gives, for each object, the version that it was made against. Records are
+replayed in offset order: a change is accepted as a whole if all these versions are
+current, and refused as a whole otherwise. Replay depends on the records alone, so all
+nodes that have read the same records have the same configuration.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from rudderpass.declarations._catalog import Catalog, ObjectKey
 from rudderpass.declarations._objects import SPEC_TYPES, AnySpec, Kind
 
-EMPTY = Version(0)
+NO_VERSION = Version(0)
 
 
 class Operation(Spec):
@@ -33,12 +33,12 @@
 
     @property
     def key(self) -> ObjectKey:
-        """The object that the operation is about."""
+        """The object that the operation sets or deletes."""
         return ObjectKey(self.kind.value, self.name)
 
 
 class Change(Spec):
-    """Operations that are accepted or refused together."""
+    """Operations that are accepted or refused atomically."""
 
     type: Literal["change"] = "change"
     change_id: str
@@ -47,7 +47,7 @@
 
 
 class SnapshotObject(Spec):
-    """One object as it stood when the snapshot was taken."""
+    """One object at the time of the snapshot."""
 
     kind: Kind
     name: str
@@ -57,7 +57,7 @@
 
 
 class Snapshot(Spec):
-    """The whole state after the record that made ``version``."""
+    """The complete state at ``version``."""
 
     type: Literal["snapshot"] = "snapshot"
     version: int
@@ -88,8 +88,8 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What replay decided on one change."""
+class ChangeOutcome:
+    """Whether replay accepted a change, and its conflicts if not."""
 
     change_id: str
     author: str
@@ -112,7 +112,7 @@
 class ConfigState:
     """The configuration after all records before offset ``version``."""
 
-    version: Version = EMPTY
+    version: Version = NO_VERSION
     entries: Mapping[ObjectKey, Entry] = field(default_factory=dict)
 
     @property
@@ -123,13 +123,16 @@
     def version_of(self, key: ObjectKey) -> Version:
         """Return the version that last set an object, or 0 if there is none."""
         entry = self.entries.get(key)
-        return entry.version if entry else EMPTY
+        return entry.version if entry else NO_VERSION
 
 
 def apply_record(
     state: ConfigState, offset: int, data: bytes
-) -> tuple[ConfigState, Verdict | None]:
-    """Replay one record; records that are not ours or already seen do nothing."""
+) -> tuple[ConfigState, ChangeOutcome | None]:
+    """Replay one record.
+
+    Records of another format only advance the version; applied ones are ignored.
+    """
     version = Version(offset + 1)
     if version <= state.version:
         return state, None
@@ -145,7 +148,7 @@
 def _apply_snapshot(
     state: ConfigState, version: Version, snapshot: Snapshot
 ) -> ConfigState:
-    if state.version > EMPTY:
+    if state.version > NO_VERSION:
         return ConfigState(version, state.entries)
     return restore_snapshot(snapshot)
 
@@ -162,7 +165,7 @@
 
 
 def take_snapshot(state: ConfigState) -> Snapshot:
-    """Describe ``state`` so that a node without any can start from it."""
+    """Return a snapshot from which a node without state can start."""
     return Snapshot(
         version=state.version,
         objects=tuple(
@@ -179,7 +182,7 @@
 
 
 def parse_snapshot(data: bytes) -> Snapshot | None:
-    """Return the snapshot in ``data``, or None if it is another record."""
+    """Decode a snapshot; return None if ``data`` is another record."""
     try:
         return Snapshot.model_validate_json(data)
     except ValidationError:
@@ -187,12 +190,12 @@
 
 
 def dump_spec(spec: AnySpec) -> dict[str, Any]:
-    """Return a spec as it would stand in a file, defaults left out."""
+    """Return a spec in the format of declaration files, without defaults."""
     return spec.model_dump(mode="json", by_alias=True, exclude_defaults=True)
 
 
 def dump_record(record: Change | Snapshot) -> bytes:
-    """Return a record's bytes for the log."""
+    """Encode a record for the log."""
     value = record.model_dump(mode="json", by_alias=True)
     return json.dumps(value, separators=(",", ":")).encode()
 
@@ -203,7 +206,7 @@
 
 def _apply_change(
     state: ConfigState, version: Version, change: Change
-) -> tuple[ConfigState, Verdict]:
+) -> tuple[ConfigState, ChangeOutcome]:
     conflicts = tuple(
         conflict
         for operation in change.operations
@@ -213,8 +216,8 @@
     if not conflicts:
         for operation in change.operations:
             _apply_operation(entries, version, change.author, operation)
-        conflicts = _find_dangling(state, entries, change)
-    verdict = Verdict(
+        conflicts = _find_dangling_references(state, entries, change)
+    outcome = ChangeOutcome(
         change.change_id,
         change.author,
         version,
@@ -223,15 +226,15 @@
         conflicts,
     )
     kept = state.entries if conflicts else entries
-    return ConfigState(version, kept), verdict
+    return ConfigState(version, kept), outcome
 
 
 def _find_conflict(state: ConfigState, operation: Operation) -> Conflict | None:
     entry = state.entries.get(operation.key)
-    current = entry.version if entry else EMPTY
+    current = entry.version if entry else NO_VERSION
     reason = ""
     if current != operation.base_version:
-        reason = "was changed meanwhile"
+        reason = "was changed concurrently"
     elif operation.spec is not None:
         try:
             _parse_spec(operation.kind, operation.spec)
@@ -261,7 +264,7 @@
     entries[operation.key] = Entry(version, author, spec)
 
 
-def _find_dangling(
+def _find_dangling_references(
     state: ConfigState, entries: dict[ObjectKey, Entry], change: Change
 ) -> tuple[Conflict, ...]:
     catalog = Catalog({key: entry.spec for key, entry in entries.items()})
@@ -271,7 +274,7 @@
             state.version_of(reference.source),
             state.version_of(reference.source),
             change.author,
-            f"would name {reference.wanted!r}, which is not declared",
+            f"would refer to {reference.target!r}, which is not declared",
         )
         for reference in catalog.references()
     )
--- a/src/rudderpass/declarations/_diff.py
+++ b/src/rudderpass/declarations/_diff.py
@@ -1,4 +1,4 @@
-"""Turn a directory of declarations into a change against the one in force."""
+"""Compare desired declarations with those in force and build the change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-class Step(Enum):
+class DiffAction(Enum):
     """What a change does to one object."""
 
     ADD = "add"
@@ -25,31 +25,31 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """One object that a change would touch."""
+    """An object that a change would add, update or delete."""
 
-    step: Step
+    action: DiffAction
     key: ObjectKey
 
 
-def compare(state: ConfigState, wanted: Catalog) -> tuple[Difference, ...]:
-    """Return what must change for ``wanted`` to be in force, sorted by object."""
+def diff_state(state: ConfigState, desired: Catalog) -> tuple[Difference, ...]:
+    """Return the differences between ``state`` and ``desired``, sorted by object."""
     differences = []
-    for key in sorted({*state.entries, *wanted.objects}):
+    for key in sorted({*state.entries, *desired.objects}):
         entry = state.entries.get(key)
-        spec = wanted.objects.get(key)
+        spec = desired.objects.get(key)
         if entry is None:
-            differences.append(Difference(Step.ADD, key))
+            differences.append(Difference(DiffAction.ADD, key))
         elif spec is None:
-            differences.append(Difference(Step.DELETE, key))
+            differences.append(Difference(DiffAction.DELETE, key))
         elif entry.spec != spec:
-            differences.append(Difference(Step.UPDATE, key))
+            differences.append(Difference(DiffAction.UPDATE, key))
     return tuple(differences)
 
 
 def build_change(
-    state: ConfigState, wanted: Catalog, author: str, change_id: str | None = None
+    state: ConfigState, desired: Catalog, author: str, change_id: str | None = None
 ) -> Change | None:
-    """Return the change that puts ``wanted`` in force, or None if it is already."""
+    """Return the change from ``state`` to ``desired``, or None if they are equal."""
     operations = tuple(
         Operation(
             kind=difference.key.kind,
@@ -57,11 +57,11 @@
             base_version=state.version_of(difference.key),
             spec=(
                 None
-                if difference.step is Step.DELETE
-                else dump_spec(wanted.objects[difference.key])
+                if difference.action is DiffAction.DELETE
+                else dump_spec(desired.objects[difference.key])
             ),
         )
-        for difference in compare(state, wanted)
+        for difference in diff_state(state, desired)
     )
     if not operations:
         return None
--- a/src/rudderpass/declarations/_load.py
+++ b/src/rudderpass/declarations/_load.py
@@ -1,4 +1,4 @@
-"""Read declarations from YAML files and report every error with its place."""
+"""Load declarations from YAML files and report all errors with file and line."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     "enum": "use one of the listed values",
 }
 
-Path_ = tuple[str | int, ...]
+FieldPath = tuple[str | int, ...]
 
 
 @dataclass(frozen=True)
 class Finding:
-    """One error in the declarations, with its place."""
+    """An error in the declarations, with its file and line."""
 
     file: str
     line: int
@@ -38,7 +38,7 @@
     hint: str
 
     def show(self) -> str:
-        """Return the finding as one line, ``file:line`` first."""
+        """Return the finding as one line that starts with ``file:line``."""
         where = f"{self.object} {self.field}".strip()
         text = f"{self.file}:{self.line}: {where}: {self.message}"
         return f"{text} ({self.hint})" if self.hint else text
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class _Document:
-    """One YAML document and the lines of its nodes."""
+    """A YAML document whose nodes have line numbers."""
 
     file: str
     node: yaml.Node
 
-    def line_of(self, path: Path_) -> int:
+    def find_line(self, path: FieldPath) -> int:
         node = self.node
         line = node.start_mark.line + 1
         for step in path:
@@ -75,10 +75,10 @@
 
 
 def load_declarations(directory: Path) -> Result[Catalog, tuple[Finding, ...]]:
-    """Read all YAML files below ``directory`` into a catalog.
+    """Load all YAML files below ``directory`` into a catalog.
 
-    Return ``Failure`` with every finding, in file and line order, when any object
-    is invalid, declared twice, or names an object that is not declared.
+    Return ``Failure`` with all findings, sorted by file and line, if any object is
+    invalid, is declared twice or refers to an object that is not declared.
     """
     loader = _Loader(directory)
     loader.read()
@@ -95,7 +95,7 @@
         self.objects: dict[ObjectKey, AnySpec] = {}
         self.findings: list[Finding] = []
         self._directory = directory
-        self._places: dict[ObjectKey, _Document] = {}
+        self._documents_by_key: dict[ObjectKey, _Document] = {}
 
     def read(self) -> None:
         files = sorted(
@@ -104,24 +104,26 @@
             if path.suffix in _SUFFIXES and path.is_file()
         )
         if not files:
-            hint = "name a directory that holds .yaml files"
-            self._add(str(self._directory), 1, "", "", "no declarations are here", hint)
+            hint = "use a directory that contains .yaml files"
+            self._add_finding(
+                str(self._directory), 1, "", "", "contains no declarations", hint
+            )
         for path in files:
-            for document in self._documents(path):
-                self._take(document)
+            for document in self._read_documents(path):
+                self._add_document(document)
         self._check_references()
 
-    def _add(
+    def _add_finding(
         self, file: str, line: int, name: str, field: str, message: str, hint: str
     ) -> None:
         self.findings.append(Finding(file, line, name, field, message, hint))
 
-    def _documents(self, path: Path) -> Iterator[_Document]:
+    def _read_documents(self, path: Path) -> Iterator[_Document]:
         file = str(path.relative_to(self._directory))
         try:
             text = path.read_text(encoding="utf-8")
         except UnicodeDecodeError as error:
-            self._add(file, 1, "", "", "is not UTF-8", f"byte {error.start}")
+            self._add_finding(file, 1, "", "", "is not UTF-8", f"byte {error.start}")
             return
         try:
             for node in yaml.compose_all(text, Loader=yaml.SafeLoader):
@@ -129,91 +131,103 @@
                     yield _Document(file, node)
         except yaml.MarkedYAMLError as error:
             line = error.problem_mark.line + 1 if error.problem_mark else 1
-            self._add(file, line, "", "", f"is not YAML: {error.problem}", "")
+            self._add_finding(file, line, "", "", f"is not YAML: {error.problem}", "")
 
-    def _take(self, document: _Document) -> None:
+    def _add_document(self, document: _Document) -> None:
         repeated = _find_repeated_key(document.node)
         if repeated is not None:
             line, field = repeated
-            self._add(
+            self._add_finding(
                 document.file, line, "", field, "is given twice", "keep one of them"
             )
             return
-        value = _construct(document.node)
-        key = self._key_of(document, value)
+        value = _construct_value(document.node)
+        key = self._parse_key(document, value)
         if key is None:
             return
-        if key in self._places:
-            first = self._places[key]
-            hint = f"first in {first.file}:{first.line_of(())}"
-            self._add(
+        if key in self._documents_by_key:
+            first = self._documents_by_key[key]
+            hint = f"first in {first.file}:{first.find_line(())}"
+            self._add_finding(
                 document.file,
-                document.line_of(()),
+                document.find_line(()),
                 str(key),
                 "name",
                 "is declared twice",
                 hint,
             )
             return
-        self._places[key] = document
-        self._take_spec(document, key, cast(dict[str, Any], value))
+        self._documents_by_key[key] = document
+        self._add_spec(document, key, cast(dict[str, Any], value))
 
-    def _key_of(self, document: _Document, value: object) -> ObjectKey | None:
-        line = document.line_of(())
+    def _parse_key(self, document: _Document, value: object) -> ObjectKey | None:
+        line = document.find_line(())
         if not isinstance(value, dict):
-            self._add(document.file, line, "", "", "is not a mapping", "")
+            self._add_finding(document.file, line, "", "", "is not a mapping", "")
             return None
         for name in value:
             if name not in _TOP_FIELDS:
-                place = document.line_of((str(name),))
+                field_line = document.find_line((str(name),))
                 hint = f"use only {', '.join(_TOP_FIELDS)}"
-                self._add(
-                    document.file, place, "", str(name), "is an unknown field", hint
+                self._add_finding(
+                    document.file,
+                    field_line,
+                    "",
+                    str(name),
+                    "is an unknown field",
+                    hint,
                 )
                 return None
         kind, name = value.get("kind"), value.get("name")
         kinds = [known.value for known in Kind]
         if kind not in kinds:
-            place = document.line_of(("kind",))
+            field_line = document.find_line(("kind",))
             hint = f"one of {', '.join(kinds)}"
-            self._add(document.file, place, "", "kind", f"{kind!r} is not a kind", hint)
+            self._add_finding(
+                document.file, field_line, "", "kind", f"{kind!r} is not a kind", hint
+            )
             return None
         if not isinstance(name, str) or not name:
-            place = document.line_of(("name",))
-            self._add(
-                document.file, place, str(kind), "name", "needs a text", "add a name"
+            field_line = document.find_line(("name",))
+            self._add_finding(
+                document.file,
+                field_line,
+                str(kind),
+                "name",
+                "must be a non-empty string",
+                "add a name",
             )
             return None
         return ObjectKey(str(kind), name)
 
-    def _take_spec(
+    def _add_spec(
         self, document: _Document, key: ObjectKey, value: dict[str, Any]
     ) -> None:
         try:
             spec = SPEC_TYPES[key.kind].model_validate(value.get("spec", {}))
         except ValidationError as error:
             for detail in error.errors():
-                self._add_detail(document, key, cast(dict[str, Any], detail))
+                self._add_validation_error(document, key, cast(dict[str, Any], detail))
             return
         self.objects[key] = cast(AnySpec, spec)
 
-    def _add_detail(
+    def _add_validation_error(
         self, document: _Document, key: ObjectKey, detail: dict[str, Any]
     ) -> None:
         path = ("spec", *detail["loc"])
         field = ".".join(str(step) for step in detail["loc"]) or "spec"
         message = detail["msg"].removeprefix("Value error, ")
         hint = _HINTS.get(detail["type"], "")
-        line = document.line_of(path)
-        self._add(document.file, line, str(key), field, message, hint)
+        line = document.find_line(path)
+        self._add_finding(document.file, line, str(key), field, message, hint)
 
     def _check_references(self) -> None:
         for reference in Catalog(self.objects).references():
-            document = self._places[reference.source]
-            line = document.line_of(("spec", *reference.path))
+            document = self._documents_by_key[reference.source]
+            line = document.find_line(("spec", *reference.path))
             field = ".".join(str(step) for step in reference.path)
-            message = f"{reference.wanted!r} is not declared"
-            self._add(
+            message = f"{reference.target!r} is not declared"
+            self._add_finding(
                 document.file,
                 line,
                 str(reference.source),
@@ -242,7 +256,7 @@
     return None
 
 
-def _construct(node: yaml.Node) -> object:
+def _construct_value(node: yaml.Node) -> object:
     constructor = yaml.SafeLoader("")
     try:
         return constructor.construct_document(node)
--- a/src/rudderpass/declarations/_objects.py
+++ b/src/rudderpass/declarations/_objects.py
@@ -1,4 +1,4 @@
-"""The declared objects. Times are seconds, rates are per second."""
+"""The declared objects. Times are in seconds, rates are per second."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Kind(Enum):
-    """The kinds of object an operator may declare."""
+    """The kinds of objects that operators can declare."""
 
     SERVICE_CLASS = "ServiceClass"
     TEAM = "Team"
@@ -51,7 +51,7 @@
 
 
 class Targets(Spec):
-    """Latency targets; a request attains its class when it meets all of them."""
+    """Latency targets; a request attains its class if it meets all of them."""
 
     first_token_seconds: Seconds | None = None
     between_tokens_seconds: Seconds | None = None
@@ -84,7 +84,7 @@
 
 
 class Limits(Spec):
-    """Limits of one team, over all nodes."""
+    """Limits of one team across all nodes."""
 
     requests_per_second: Annotated[float, Field(gt=0)] | None = None
     tokens_per_second: Annotated[float, Field(gt=0)] | None = None
@@ -92,7 +92,7 @@
 
 
 class TeamSpec(Spec):
-    """A team: who may call, in which classes, and how much."""
+    """A team: its token digests, service classes, limits and labels."""
 
     token_digests: tuple[TokenDigest, ...] = Field(min_length=1)
     classes: tuple[str, ...] = Field(min_length=1)
@@ -107,13 +107,13 @@
         return self
 
     @property
-    def class_by_default(self) -> str:
-        """The class of a request that names none."""
+    def effective_default_class(self) -> str:
+        """The class of requests that specify none."""
         return self.default_class or self.classes[0]
 
 
 class RouteSpec(Spec):
-    """Which requests go to which runner, and whether they may be repeated."""
+    """Which requests go to which runner, and whether they may be retried."""
 
     models: tuple[str, ...] = ()
     path_prefix: str | None = None
@@ -126,26 +126,26 @@
         if bool(self.models) == bool(self.path_prefix):
             raise ValueError("needs either models or pathPrefix")
         if self.path_prefix is not None and not self.path_prefix.startswith("/"):
-            raise ValueError("pathPrefix begins with /")
+            raise ValueError("pathPrefix must begin with /")
         return self
 
 
 class UpstreamKind(Enum):
-    """What speaks behind an upstream's address."""
+    """The kind of service at an upstream's address."""
 
     ENGINE = "engine"
     DESK = "desk"
 
 
 class Fencing(Enum):
-    """Whether an upstream refuses an order with an old fencing number."""
+    """Whether an upstream rejects requests with a stale fencing token."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
 
 
 class UpstreamSpec(Spec):
-    """One engine or desk."""
+    """An upstream: a model engine or a booking desk."""
 
     kind: UpstreamKind
     address: Address
@@ -158,14 +158,14 @@
 
 
 class SelectorSpec(Spec):
-    """Requests accepted by ``request`` may only use upstreams in ``upstream``."""
+    """Restricts requests matching ``request`` to upstreams matching ``upstream``."""
 
     request: LabelSelector = LabelSelector()
     upstream: LabelSelector
 
 
 class ObjectiveSpec(Spec):
-    """What the deployment weighs most; the weights are relative."""
+    """Relative weights of the deployment's optimization goals."""
 
     attainment: Annotated[float, Field(ge=0)] = 1.0
     goodput: Annotated[float, Field(ge=0)] = 1.0
--- a/src/rudderpass/declarations/_selectors.py
+++ b/src/rudderpass/declarations/_selectors.py
@@ -1,4 +1,4 @@
-"""Label selectors: which labels a selector accepts, and why not."""
+"""Label selectors, which explain why they do not match."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MatchExpression(Spec):
-    """One condition over one label."""
+    """A condition on one label."""
 
     key: str
     operator: Operator
@@ -36,7 +36,7 @@
         return self
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether ``labels`` satisfy this condition."""
+        """Return whether ``labels`` satisfy the condition."""
         if self.operator is Operator.EXISTS:
             return self.key in labels
         if self.operator is Operator.DOES_NOT_EXIST:
@@ -48,20 +48,20 @@
 
 
 class LabelSelector(Spec):
-    """All conditions must hold; an empty selector accepts everything."""
+    """A conjunction of conditions; an empty selector matches everything."""
 
     match_labels: dict[str, str] = {}
     match_expressions: tuple[MatchExpression, ...] = ()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether ``labels`` satisfy every condition."""
+        """Return whether ``labels`` satisfy all conditions."""
         return self.explain(labels) is None
 
     def explain(self, labels: Mapping[str, str]) -> str | None:
         """Return the first condition that fails, or None when all hold."""
-        for key, wanted in self.match_labels.items():
-            if labels.get(key) != wanted:
-                return f"{key}={labels.get(key, '')} is not {wanted}"
+        for key, expected in self.match_labels.items():
+            if labels.get(key) != expected:
+                return f"{key}={labels.get(key, '')} is not {expected}"
         for expression in self.match_expressions:
             if not expression.matches(labels):
                 values = ",".join(expression.values)
--- a/src/rudderpass/gateway/_keyed.py
+++ b/src/rudderpass/gateway/_keyed.py
@@ -8,21 +8,21 @@
 from http import HTTPStatus
 
 from rudderpass.claims import (
-    MAX_ANSWER_BYTES,
+    MAX_RESPONSE_BYTES,
     AttemptId,
+    ClaimEntry,
     Claimer,
     ClaimState,
     Done,
-    Entry,
     Lost,
     Unavailable,
     digest_body,
-    make_key,
+    make_claim_key,
 )
 from rudderpass.gateway._problems import Problem, ProblemCode
 from rudderpass.gateway._request import CallerRequest
 from rudderpass.streams import Outcome
-from rudderpass.upstreams import WholeAnswer
+from rudderpass.upstreams import CompleteResponse
 
 REPLAYED_HEADER = "X-Rudderpass-Replayed"
 _CLAIM_SECONDS = 3.0
@@ -53,11 +53,11 @@
         assert request.key is not None
         self._claimer = claimer
         self._attempt = AttemptId(request.request_id)
-        self._key = make_key(request.team, route, request.key)
+        self._key = make_claim_key(request.team, route, request.key)
         self._digest = digest_body(request.body)
         self._follow_until = time.monotonic() + _OTHER_SECONDS
 
-    def claim(self) -> Problem | Entry | None:
+    def claim(self) -> Problem | ClaimEntry | None:
         """Claim the key; None means that this request may run the work.
 
         An entry is that of another request which holds the key.
@@ -74,7 +74,7 @@
         self.release()
         return _unavailable("this node was paused meanwhile")
 
-    def follow(self, entry: Entry) -> Problem | KeptAnswer | None:
+    def follow(self, entry: ClaimEntry) -> Problem | KeptAnswer | None:
         """Wait for what the winner does; None means that the key is free again."""
         if entry.digest != self._digest:
             return Problem(
@@ -83,7 +83,7 @@
                 "this key was used with another body",
             )
         left = self._follow_until - time.monotonic()
-        latest = self._claimer.wait_done(self._key, left)
+        latest = self._claimer.wait_until_ended(self._key, left)
         if latest is None or latest.state is ClaimState.RELEASED:
             return None
         if latest.done is None:
@@ -97,9 +97,9 @@
         """Say that the work was not run, so that another request may run it."""
         self._claimer.release(self._key, self._attempt)
 
-    def finish(self, answer: WholeAnswer) -> None:
+    def finish(self, answer: CompleteResponse) -> None:
         """Keep the answer for later requests with the same key."""
-        is_small = len(answer.body) <= MAX_ANSWER_BYTES
+        is_small = len(answer.body) <= MAX_RESPONSE_BYTES
         body = base64.b64encode(answer.body).decode() if is_small else ""
         self._claimer.finish(
             Done(
--- a/src/rudderpass/gateway/_serve.py
+++ b/src/rudderpass/gateway/_serve.py
@@ -45,10 +45,10 @@
 from rudderpass.upstreams import (
     PRIORITY_HEADER,
     RESUME_HEADER,
-    OpenAnswer,
+    CompleteResponse,
+    OpenResponse,
     UpstreamRequest,
-    WholeAnswer,
-    open_answer,
+    open_response,
 )
 from rudderpass.webserver import convert_disconnect
 
@@ -284,7 +284,7 @@
             )
         return spec
 
-    def _open(self, spec: UpstreamSpec, granted: Granted) -> OpenAnswer:
+    def _open(self, spec: UpstreamSpec, granted: Granted) -> OpenResponse:
         request = self._request
         headers = {**request.headers, REQUEST_ID_HEADER: request.request_id}
         if self._admitted is not None:
@@ -295,10 +295,10 @@
             headers[RESUME_HEADER] = str(self._state.produced)
         self._may_run = True
         sent = UpstreamRequest(request.method, request.target, headers, request.body)
-        return open_answer(spec, sent, self._services.upstream_timeout)
+        return open_response(spec, sent, self._services.upstream_timeout)
 
     def _pass_stream(
-        self, attempt: RequestId, answer: OpenAnswer, spec: UpstreamSpec, began: float
+        self, attempt: RequestId, answer: OpenResponse, spec: UpstreamSpec, began: float
     ) -> tuple[Usage, Iterable[bytes]]:
         if self._write is None:
             headers = [
@@ -317,7 +317,7 @@
         relayed_from = time.monotonic()
         future = self._services.relay.relay(
             answer.socket,
-            answer.take_leftover(),
+            answer.take_buffered(),
             answer.chunked,
             caller,
             self._services.upstream_timeout,
@@ -367,9 +367,9 @@
         self._recorder.record_completed(self._state.produced)
 
     def _pass_whole(
-        self, answer: OpenAnswer, spec: UpstreamSpec, began: float
+        self, answer: OpenResponse, spec: UpstreamSpec, began: float
     ) -> tuple[Usage, Iterable[bytes]]:
-        whole = answer.read_whole(spec.address)
+        whole = answer.read_body(spec.address)
         duration = time.monotonic() - began
         failed = whole.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed and spec.kind is UpstreamKind.ENGINE:
@@ -450,7 +450,7 @@
         self.usage = usage
 
 
-def _count_tokens(answer: WholeAnswer) -> int:
+def _count_tokens(answer: CompleteResponse) -> int:
     """Return the tokens that an engine's whole answer reports, 0 if it does not."""
     if not answer.content_type.startswith("application/json"):
         return 0
--- a/src/rudderpass/logservice/__init__.py
+++ b/src/rudderpass/logservice/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the log service and the host list that the project's own nodes use."""
+"""Clients that nodes use for the platform's log service and host list."""
 
 from rudderpass.logservice._hosts import (
     HostList as HostList,
@@ -17,5 +17,5 @@
     Unknown as Unknown,
     dump_page as dump_page,
     new_record_id as new_record_id,
-    settle_append as settle_append,
+    resolve_append as resolve_append,
 )
--- a/src/rudderpass/logservice/_hosts.py
+++ b/src/rudderpass/logservice/_hosts.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving hosts."""
+"""Client of the platform's list of live and leaving hosts, which may be stale."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True)
 class HostList:
-    """The platform's list.
+    """A snapshot of the platform's host list.
 
-    :param nodes: the system's own hosts.
+    :param nodes: the router's own hosts.
     :param leaving: addresses (``ip:port``) of upstreams that are leaving.
     """
 
@@ -27,7 +27,7 @@
     """The host list over its HTTP interface, ``GET /hosts``.
 
     :param address: ``ip:port`` of the service.
-    :param timeout: seconds after which a call is given up.
+    :param timeout: of a call, in seconds.
 
     .. versionadded:: 0.1
     """
--- a/src/rudderpass/logservice/_log.py
+++ b/src/rudderpass/logservice/_log.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log service, behind a small interface."""
+"""Client of the platform's append-only log service."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @dataclass(frozen=True)
 class Appended:
-    """The record stands at ``offset``."""
+    """The record was appended at ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True)
 class NotAppended:
-    """The record does not stand and never will."""
+    """The record was not appended and never will be."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Unknown:
-    """The record may or may not stand; only reading can tell."""
+    """The record may or may not have been appended; only a read can tell."""
 
     reason: str
 
@@ -51,8 +51,8 @@
 class LogPage:
     """Records in offset order.
 
-    :param first: the oldest offset that is still kept.
-    :param end: the offset that the next append will get.
+    :param first: the oldest retained offset.
+    :param end: the offset of the next append.
     """
 
     records: tuple[LogRecord, ...]
@@ -61,7 +61,7 @@
 
 
 class LogService(Protocol):
-    """What the system needs of the platform's log."""
+    """The operations that the router needs from the platform's log."""
 
     def append(self, stream: str, data: bytes) -> AppendResult:
         """Append one record. Never raises."""
@@ -80,7 +80,7 @@
     reads.
 
     :param address: ``ip:port`` of the service.
-    :param timeout: seconds after which a call is given up.
+    :param timeout: of a call, in seconds.
 
     .. versionadded:: 0.1
     """
@@ -104,7 +104,7 @@
             return Unknown(f"no answer from {self._address}: {error}")
         finally:
             connection.close()
-        return _read_append_answer(response.status, body)
+        return _parse_append_response(response.status, body)
 
     def read(self, stream: str, offset: int, wait: float = 0.0) -> LogPage:
         """Return records from ``offset``, waiting up to ``wait`` s for the first."""
@@ -116,7 +116,7 @@
             body = response.read()
             if response.status != http.HTTPStatus.OK:
                 raise PlatformError(
-                    f"the log answered {response.status}",
+                    f"the log answered with status {response.status}",
                     step="read",
                     peer=self._address,
                 )
@@ -129,15 +129,15 @@
             connection.close()
 
 
-def _read_append_answer(status: int, body: bytes) -> AppendResult:
+def _parse_append_response(status: int, body: bytes) -> AppendResult:
     if status == http.HTTPStatus.OK:
         try:
             return Appended(int(json.loads(body)["offset"]))
         except (ValueError, KeyError, TypeError) as error:
-            return Unknown(f"the answer cannot be read: {error}")
+            return Unknown(f"the log's response cannot be read: {error}")
     if status in (http.HTTPStatus.TOO_MANY_REQUESTS, http.HTTPStatus.BAD_REQUEST):
-        return NotAppended(f"the log answered {status}")
-    return Unknown(f"the log answered {status}")
+        return NotAppended(f"the log answered with status {status}")
+    return Unknown(f"the log answered with status {status}")
 
 
 def _parse_page(body: bytes) -> LogPage:
@@ -150,7 +150,7 @@
 
 
 def dump_page(page: LogPage) -> bytes:
-    """Return the body that :class:`HttpLogService` reads."""
+    """Encode a page as the body that :class:`HttpLogService` parses."""
     value = {
         "first": page.first,
         "end": page.end,
@@ -165,13 +165,13 @@
     return json.dumps(value).encode()
 
 
-def settle_append(
+def resolve_append(
     log: LogService, stream: str, data: bytes, result: AppendResult, start: int
 ) -> AppendResult:
-    """Settle an unknown append by reading from ``start`` for the same bytes.
+    """Resolve an unknown append by searching from ``start`` for the same bytes.
 
-    The bytes must be unique to the append, for example by a random id. A record
-    that is not there yet may still arrive, so absence stays unknown.
+    The bytes must be unique to the append, for example through a random id. A missing
+    record may still be appended later, so the result then stays unknown.
     """
     if not isinstance(result, Unknown):
         return result
--- a/src/rudderpass/node/_follower.py
+++ b/src/rudderpass/node/_follower.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from rudderpass.declarations import ConfigState, Verdict, parse_snapshot
+from rudderpass.declarations import ChangeOutcome, ConfigState, parse_snapshot
 from rudderpass.errors import PlatformError, RudderpassError
 from rudderpass.logservice import (
     CONFIG_STREAM,
@@ -121,7 +121,7 @@
         self._stopping.wait(pause)
 
 
-def _log_verdict(verdict: Verdict) -> None:
+def _log_verdict(verdict: ChangeOutcome) -> None:
     word = "accepted" if verdict.accepted else "refused"
     log(
         "config",
--- a/src/rudderpass/publishing/__init__.py
+++ b/src/rudderpass/publishing/__init__.py
@@ -1,4 +1,4 @@
-"""Publishing: operators' changes to the configuration stream, and its replay."""
+"""Publishing: appends operators' changes to the configuration stream and replays it."""
 
 from rudderpass.publishing._publisher import (
     Applied as Applied,
--- a/src/rudderpass/publishing/_publisher.py
+++ b/src/rudderpass/publishing/_publisher.py
@@ -1,4 +1,4 @@
-"""Publish declarations through the platform's log, and read what became of them."""
+"""Publish declarations through the platform's log and read back the outcome."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from rudderpass.declarations import (
     Catalog,
+    ChangeOutcome,
     ConfigState,
-    Verdict,
     apply_record,
     build_change,
     dump_record,
@@ -25,7 +25,7 @@
     LogService,
     NotAppended,
     Unknown,
-    settle_append,
+    resolve_append,
 )
 
 _READ_BACK_SECONDS = 5.0
@@ -33,41 +33,42 @@
 
 @dataclass(frozen=True)
 class Applied:
-    """An accepted change, or nothing to change when ``verdict`` is None."""
+    """An accepted change; ``outcome`` is None if there was nothing to change."""
 
     state: ConfigState
-    verdict: Verdict | None
+    outcome: ChangeOutcome | None
 
 
 @dataclass(frozen=True)
 class History:
-    """The verdicts on all changes that the log still keeps."""
+    """The state, and the outcomes of all changes that the log retains."""
 
     state: ConfigState
-    verdicts: tuple[Verdict, ...]
+    outcomes: tuple[ChangeOutcome, ...]
 
 
 def replay_page(
     state: ConfigState, page: LogPage
-) -> tuple[ConfigState, tuple[Verdict, ...]]:
-    """Replay a page read from offset ``state.version``.
+) -> tuple[ConfigState, tuple[ChangeOutcome, ...]]:
+    """Replay a page that was read from offset ``state.version``.
 
-    A reader without state whose records before ``page.first`` are gone starts from
-    the newest snapshot in the page; without one it stays without.
+    If records that the state lacks were removed from the log (those before
+    ``page.first``), replay starts from the newest snapshot in the page. Without a
+    snapshot, the state does not change.
     """
     if state.version < page.first:
-        state = _start_from_snapshot(state, page)
-    verdicts = []
+        state = _restore_newest_snapshot(state, page)
+    outcomes = []
     for record in page.records:
         if state.version < page.first:
             break
-        state, verdict = apply_record(state, record.offset, record.data)
-        if verdict is not None:
-            verdicts.append(verdict)
-    return state, tuple(verdicts)
+        state, outcome = apply_record(state, record.offset, record.data)
+        if outcome is not None:
+            outcomes.append(outcome)
+    return state, tuple(outcomes)
 
 
-def _start_from_snapshot(state: ConfigState, page: LogPage) -> ConfigState:
+def _restore_newest_snapshot(state: ConfigState, page: LogPage) -> ConfigState:
     for record in reversed(page.records):
         snapshot = parse_snapshot(record.data)
         if snapshot is None or snapshot.version < max(page.first, state.version):
@@ -77,7 +78,7 @@
 
 
 class Publisher:
-    """An operator's side of the configuration stream.
+    """An operator's client of the configuration stream.
 
     :param log: the platform's log service.
 
@@ -93,47 +94,47 @@
         :raises PlatformError: when the log does not answer.
         """
         state = ConfigState()
-        verdicts: list[Verdict] = []
+        outcomes: list[ChangeOutcome] = []
         while True:
             page = self._log.read(CONFIG_STREAM, state.version)
-            newer, found = replay_page(state, page)
-            verdicts += found
+            newer, page_outcomes = replay_page(state, page)
+            outcomes += page_outcomes
             if newer.version == state.version or newer.version >= page.end:
-                return History(newer, tuple(verdicts))
+                return History(newer, tuple(outcomes))
             state = newer
 
     def apply(
-        self, wanted: Catalog, author: str, base: ConfigState | None = None
+        self, desired: Catalog, author: str, base: ConfigState | None = None
     ) -> Result[Applied, DeclarationError]:
-        """Publish ``wanted`` and return once it is accepted or refused.
+        """Publish ``desired`` and wait until it is accepted or refused.
 
-        :param base: the state that the change was made against; the newest one
-            when None.
+        :param base: the state that the change is made against; the latest one
+            if None.
         :raises PlatformError: when the log does not answer.
         """
         if base is None:
             base = self.history().state
-        change = build_change(base, wanted, author)
+        change = build_change(base, desired, author)
         if change is None:
             return Success(Applied(base, None))
         data = dump_record(change)
         result = self._log.append(CONFIG_STREAM, data)
-        result = settle_append(self._log, CONFIG_STREAM, data, result, base.version)
+        result = resolve_append(self._log, CONFIG_STREAM, data, result, base.version)
         if not isinstance(result, Appended):
-            return Failure(_describe(result))
+            return Failure(_to_error(result))
         return self._read_back(base, change.change_id)
 
     def write_snapshot(self) -> int:
-        """Write the state again, so that older records may go.
+        """Append a snapshot of the state, so that older records may expire.
 
         :return: the version that the snapshot describes.
-        :raises DeclarationError: when the append did not certainly succeed.
+        :raises DeclarationError: when the append failed or its result is unknown.
         """
         state = self.history().state
         data = dump_record(take_snapshot(state))
         result = self._log.append(CONFIG_STREAM, data)
         if not isinstance(result, Appended):
-            raise _describe(result)
+            raise _to_error(result)
         return state.version
 
     def _read_back(
@@ -141,10 +142,10 @@
     ) -> Result[Applied, DeclarationError]:
         while True:
             page = self._log.read(CONFIG_STREAM, state.version, _READ_BACK_SECONDS)
-            newer, verdicts = replay_page(state, page)
-            for verdict in verdicts:
-                if verdict.change_id == change_id:
-                    return _judge(newer, verdict)
+            newer, outcomes = replay_page(state, page)
+            for outcome in outcomes:
+                if outcome.change_id == change_id:
+                    return _to_result(newer, outcome)
             if newer.version == state.version:
                 return Failure(
                     DeclarationError(
@@ -156,20 +157,22 @@
             state = newer
 
 
-def _judge(state: ConfigState, verdict: Verdict) -> Result[Applied, DeclarationError]:
-    if verdict.accepted:
-        return Success(Applied(state, verdict))
-    reasons = "; ".join(conflict.show() for conflict in verdict.conflicts)
+def _to_result(
+    state: ConfigState, outcome: ChangeOutcome
+) -> Result[Applied, DeclarationError]:
+    if outcome.accepted:
+        return Success(Applied(state, outcome))
+    reasons = "; ".join(conflict.show() for conflict in outcome.conflicts)
     return Failure(
         DeclarationError(
             f"refused: {reasons}",
-            hint="read the current state with rudderpass diff and apply again",
+            hint="check the current state with rudderpass diff and apply again",
             step="replay",
         )
     )
 
 
-def _describe(result: NotAppended | Unknown) -> DeclarationError:
+def _to_error(result: NotAppended | Unknown) -> DeclarationError:
     if isinstance(result, NotAppended):
         return DeclarationError(
             f"nothing was published: {result.reason}", step="append"
--- a/src/rudderpass/upstreams/_exchange.py
+++ b/src/rudderpass/upstreams/_exchange.py
@@ -1,7 +1,7 @@
 """One exchange with an upstream over HTTP.
 
-Every exchange has a connection of its own. A reused one that the upstream closes at
-the same moment would leave open whether the request ran.
+Every exchange uses a new connection. If the upstream closed a reused connection at
+the same moment, it would be unknown whether the request ran.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from rudderpass.errors import UpstreamError
 
 CONNECT_TIMEOUT = 0.3
-"""Seconds after which an upstream counts as unreachable."""
+"""Seconds without a connection after which an upstream is unreachable."""
 
-_LEFTOVER_BYTES = 65536
+_MAX_BUFFERED_BYTES = 65536
 
 RESUME_HEADER = "X-Resume-Offset"
-"""Asks an engine to go on after so many events of the same answer."""
+"""Asks an engine to resume the same response after this many events."""
 
 PRIORITY_HEADER = "X-Request-Priority"
-"""The request's tier, which engines honour in their own queue."""
+"""The request's tier, by which engines order their own queue."""
 
 EXECUTED_HEADER = "X-Request-Executed"
-"""A desk's own word, ``false``, that it did not run a request."""
+"""Set to ``false`` by a desk that did not execute the request."""
 
 
 @dataclass(frozen=True)
 class UpstreamRequest:
-    """What is sent to an upstream."""
+    """A request to an upstream."""
 
     method: str
     path: str
@@ -41,8 +41,8 @@
 
 
 @dataclass
-class WholeAnswer:
-    """A complete answer."""
+class CompleteResponse:
+    """A response with its complete body."""
 
     status: int
     content_type: str
@@ -50,16 +50,13 @@
 
 
 @dataclass
-class OpenAnswer:
-    """An answer whose headers have arrived.
-
-    :param leftover: bytes of the body that were read with the headers.
-    """
+class OpenResponse:
+    """A response whose headers have arrived and whose body is still open."""
 
     status: int
     content_type: str
     socket: socket.socket
-    response: http.client.HTTPResponse
+    http_response: http.client.HTTPResponse
     chunked: bool
 
     def is_stream(self) -> bool:
@@ -67,40 +64,43 @@
         is_events = self.content_type.startswith("text/event-stream")
         return self.status == http.HTTPStatus.OK and is_events
 
-    def take_leftover(self) -> bytes:
-        """Return body bytes that were read with the headers, and stop reading."""
+    def take_buffered(self) -> bytes:
+        """Return the body bytes that were read along with the headers.
+
+        The socket becomes non-blocking; the response must not be read afterwards.
+        """
         self.socket.setblocking(False)
-        return bytes(self.response.fp.peek(_LEFTOVER_BYTES))
+        return bytes(self.http_response.fp.peek(_MAX_BUFFERED_BYTES))
 
-    def read_whole(self, peer: str) -> WholeAnswer:
+    def read_body(self, peer: str) -> CompleteResponse:
         """Read the body to its end.
 
         :raises UpstreamError: when it ends early.
         """
         try:
-            body = self.response.read()
+            body = self.http_response.read()
         except (OSError, http.client.HTTPException, ValueError) as error:
-            text = f"the answer was cut: {type(error).__name__} {error}"
+            text = f"the response body ended early: {type(error).__name__} {error}"
             raise UpstreamError(text, sent=True, step="read", peer=peer) from error
-        return WholeAnswer(self.status, self.content_type, body)
+        return CompleteResponse(self.status, self.content_type, body)
 
     def close(self) -> None:
-        """Close the connection; an upstream takes that as a cancellation."""
+        """Close the connection, which upstreams treat as a cancellation."""
         try:
             self.socket.shutdown(socket.SHUT_RDWR)
         except OSError:
             pass
-        self.response.close()
+        self.http_response.close()
         self.socket.close()
 
 
-def open_answer(
+def open_response(
     spec: UpstreamSpec, request: UpstreamRequest, timeout: float
-) -> OpenAnswer:
-    """Send a request and read the answer's headers.
+) -> OpenResponse:
+    """Send a request and read the response headers.
 
-    :param timeout: seconds of silence after which the exchange has failed.
-    :raises UpstreamError: saying whether any byte may have left.
+    :param timeout: seconds without data after which the exchange fails.
+    :raises UpstreamError: with whether any byte of the request may have been sent.
     """
     connection = http.client.HTTPConnection(spec.address, timeout=CONNECT_TIMEOUT)
     try:
@@ -117,30 +117,30 @@
         connection.request(
             request.method, request.path, request.body, dict(request.headers)
         )
-        response = connection.getresponse()
+        http_response = connection.getresponse()
     except (OSError, http.client.HTTPException) as error:
         sock.close()
         text = f"no answer: {type(error).__name__} {error}"
         raise UpstreamError(
             text, sent=True, step="request", peer=spec.address
         ) from error
-    answer = OpenAnswer(
-        response.status,
-        response.getheader("Content-Type", "application/octet-stream"),
+    response = OpenResponse(
+        http_response.status,
+        http_response.getheader("Content-Type", "application/octet-stream"),
         sock,
-        response,
-        bool(response.chunked),
+        http_response,
+        bool(http_response.chunked),
     )
-    _check_refused(spec, answer)
-    return answer
+    _raise_if_refused(spec, response)
+    return response
 
 
-def _check_refused(spec: UpstreamSpec, answer: OpenAnswer) -> None:
-    if not _says_not_run(_KINDS[spec.kind], answer):
+def _raise_if_refused(spec: UpstreamSpec, response: OpenResponse) -> None:
+    if not _is_not_executed(_KINDS[spec.kind], response):
         return
-    answer.close()
+    response.close()
     raise UpstreamError(
-        f"refused with status {answer.status}",
+        f"refused with status {response.status}",
         sent=True,
         refused=True,
         step="request",
@@ -150,12 +150,12 @@
 
 @dataclass(frozen=True)
 class _Engine:
-    """Model engines answer 429 and 503 before they begin."""
+    """Model engines answer 429 or 503 only before they start a request."""
 
 
 @dataclass(frozen=True)
 class _Desk:
-    """Desks say so in a header; their status alone proves nothing."""
+    """Desks report it in a header; their status alone is not conclusive."""
 
 
 _KINDS: dict[UpstreamKind, _Engine | _Desk] = {
@@ -165,19 +165,19 @@
 
 
 @singledispatch
-def _says_not_run(kind: object, answer: OpenAnswer) -> bool:
-    raise TypeError(f"no rule for {type(kind).__name__}")
+def _is_not_executed(kind: object, response: OpenResponse) -> bool:
+    raise TypeError(f"unsupported upstream kind {type(kind).__name__}")
 
 
-@_says_not_run.register
-def _(kind: _Engine, answer: OpenAnswer) -> bool:
-    return answer.status in (
+@_is_not_executed.register
+def _(kind: _Engine, response: OpenResponse) -> bool:
+    return response.status in (
         http.HTTPStatus.TOO_MANY_REQUESTS,
         http.HTTPStatus.SERVICE_UNAVAILABLE,
     )
 
 
-@_says_not_run.register
-def _(kind: _Desk, answer: OpenAnswer) -> bool:
-    executed = answer.response.getheader(EXECUTED_HEADER, "")
-    return answer.status >= http.HTTPStatus.BAD_REQUEST and executed == "false"
+@_is_not_executed.register
+def _(kind: _Desk, response: OpenResponse) -> bool:
+    executed = response.http_response.getheader(EXECUTED_HEADER, "")
+    return response.status >= http.HTTPStatus.BAD_REQUEST and executed == "false"
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Keyed work runs at most once, whatever happens to nodes and log."""
+"""Keyed work runs at most once, whatever fails at nodes or the log."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 KEY = ClaimKey("key-1")
 SECONDS = 10.0
-FIND = (Phase.generate,)
-"""A broken variant need only be found, not made small."""
+GENERATE_ONLY = (Phase.generate,)
+"""A failure of a broken variant need only be found, not shrunk."""
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Attempts on three nodes; records late, doubled or lost; nodes crash.
+    """Attempts on three nodes; records are delayed or lost, and nodes crash.
 
     An attempt runs its work only after its node has read its claim back as the
     winner, as :class:`Claimer` does.
@@ -53,42 +53,42 @@
     def __init__(self) -> None:
         super().__init__()
         self.log: list[bytes] = []
-        self.late: list[bytes] = []
+        self.delayed: list[bytes] = []
         self.tables = [self.table_type() for _ in range(3)]
-        self.read = [0, 0, 0]
-        self.number = 0
-        self.home: dict[str, int] = {}
+        self.read_counts = [0, 0, 0]
+        self.record_count = 0
+        self.node_by_attempt: dict[str, int] = {}
         self.ended: set[str] = set()
         self.runs: list[str] = []
 
-    def append(self, record: Claim | Released | Done, fate: str) -> None:
-        self.number += 1
-        data = dump_batch(str(self.number), (record,))
-        if fate == "late":
-            self.late.append(data)
-        elif fate != "lost":
+    def append(self, record: Claim | Released | Done, delivery: str) -> None:
+        self.record_count += 1
+        data = dump_batch(str(self.record_count), (record,))
+        if delivery == "late":
+            self.delayed.append(data)
+        elif delivery != "lost":
             self.log.append(data)
 
     @rule(
         node=st.integers(0, 2),
-        fate=st.sampled_from(["now", "now", "late", "lost"]),
+        delivery=st.sampled_from(["now", "now", "late", "lost"]),
     )
-    def claim(self, node: int, fate: str) -> None:
-        attempt = f"attempt-{len(self.home)}"
-        self.home[attempt] = node
-        self.append(Claim(key=KEY, attempt=attempt, digest="d"), fate)
+    def claim(self, node: int, delivery: str) -> None:
+        attempt = f"attempt-{len(self.node_by_attempt)}"
+        self.node_by_attempt[attempt] = node
+        self.append(Claim(key=KEY, attempt=attempt, digest="d"), delivery)
 
     @rule(node=st.integers(0, 2), count=st.integers(1, 6))
     def read_on(self, node: int, count: int) -> None:
-        for data in self.log[self.read[node] :][:count]:
+        for data in self.log[self.read_counts[node] :][:count]:
             for record in parse_batch(data):
                 self.tables[node].apply(record)
                 if isinstance(record, Claim):
                     self.run_if_won(node, record)
-            self.read[node] += 1
+            self.read_counts[node] += 1
 
     def run_if_won(self, node: int, claim: Claim) -> None:
-        if self.home[claim.attempt] != node or claim.attempt in self.ended:
+        if self.node_by_attempt[claim.attempt] != node or claim.attempt in self.ended:
             return
         entry = self.tables[node].get(ClaimKey(claim.key))
         self.ended.add(claim.attempt)
@@ -97,47 +97,49 @@
         if entry.state is ClaimState.RUNNING:
             self.runs.append(claim.attempt)
 
-    @precondition(lambda self: set(self.home) - self.ended)
-    @rule(pick=st.integers(0, 100), fate=st.sampled_from(["now", "late"]))
-    def give_up(self, pick: int, fate: str) -> None:
-        """A caller leaves, or the log is too slow: not run, so released."""
-        open_attempts = sorted(set(self.home) - self.ended)
+    @precondition(lambda self: set(self.node_by_attempt) - self.ended)
+    @rule(pick=st.integers(0, 100), delivery=st.sampled_from(["now", "late"]))
+    def give_up(self, pick: int, delivery: str) -> None:
+        """A caller leaves or the log is too slow: the work is not run, so released."""
+        open_attempts = sorted(set(self.node_by_attempt) - self.ended)
         attempt = open_attempts[pick % len(open_attempts)]
         self.ended.add(attempt)
-        self.append(Released(key=KEY, attempt=attempt), fate)
+        self.append(Released(key=KEY, attempt=attempt), delivery)
 
     @precondition(lambda self: self.runs)
-    @rule(fate=st.sampled_from(["now", "late", "lost"]))
-    def complete(self, fate: str) -> None:
+    @rule(delivery=st.sampled_from(["now", "late", "lost"]))
+    def complete(self, delivery: str) -> None:
         done = Done(
             key=KEY, attempt=self.runs[0], status=200, content_type="x", body=""
         )
-        self.append(done, fate)
+        self.append(done, delivery)
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed)
     @rule(pick=st.integers(0, 100))
     def late_record_appears(self, pick: int) -> None:
-        self.log.append(self.late.pop(pick % len(self.late)))
+        self.log.append(self.delayed.pop(pick % len(self.delayed)))
 
     @rule(node=st.integers(0, 2))
     def crash(self, node: int) -> None:
-        """The node's attempts end without a word; it reads all again."""
-        self.ended |= {name for name, home in self.home.items() if home == node}
+        """The node's attempts end without a record; it rereads the log."""
+        self.ended |= {
+            name for name, home in self.node_by_attempt.items() if home == node
+        }
         self.tables[node] = self.table_type()
-        self.read[node] = 0
+        self.read_counts[node] = 0
 
     @invariant()
     def the_work_ran_at_most_once(self) -> None:
         assert len(self.runs) <= 1, self.runs
 
 
-STEPS = make_settings(400)
-ClaimMachine.TestCase.settings = STEPS
+MACHINE_SETTINGS = make_settings(400)
+ClaimMachine.TestCase.settings = MACHINE_SETTINGS
 TestClaimMachine = ClaimMachine.TestCase
 
 
 class LastWins(ClaimTable):
-    """Broken on purpose: a later claim takes the key over."""
+    """Broken on purpose: a later claim takes over the key."""
 
     def apply(self, record: Claim | Released | Done) -> None:
         if isinstance(record, Claim):
@@ -158,7 +160,9 @@
 def test_the_check_catches_a_broken_table(broken: type[ClaimTable]) -> None:
     machine = type("Broken", (ClaimMachine,), {"table_type": broken})
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=settings(STEPS, phases=FIND))
+        run_state_machine_as_test(
+            machine, settings=settings(MACHINE_SETTINGS, phases=GENERATE_ONLY)
+        )
 
 
 @pytest.fixture
@@ -194,14 +198,14 @@
 def test_a_released_key_can_be_claimed_again(claimers: list[Claimer]) -> None:
     assert isinstance(claim(claimers[0], "one"), Won)
     claimers[0].release(KEY, AttemptId("one"))
-    entry = claimers[1].wait_done(KEY, SECONDS)
+    entry = claimers[1].wait_until_ended(KEY, SECONDS)
     while entry is None:
-        entry = claimers[1].wait_done(KEY, SECONDS)
+        entry = claimers[1].wait_until_ended(KEY, SECONDS)
     assert entry.state is ClaimState.RELEASED
     assert isinstance(claim(claimers[1], "two"), Won)
 
 
-def test_a_lost_append_answer_is_settled_by_reading(
+def test_a_lost_append_response_is_settled_by_reading(
     log: StandInLog, claimers: list[Claimer]
 ) -> None:
     log.fault = LogFault.APPEND_ANSWER_LOST
@@ -218,7 +222,7 @@
     assert isinstance(claim(claimers[1], "two"), Won)
 
 
-def test_a_claim_that_was_given_up_and_appears_late_is_released(
+def test_an_abandoned_claim_that_appears_late_is_released(
     log: StandInLog, claimers: list[Claimer]
 ) -> None:
     log.fault = LogFault.DOWN
@@ -230,6 +234,6 @@
     result = claim(claimers[1], "two")
     while isinstance(result, Lost):
         assert result.entry.winner == "one"
-        claimers[1].wait_done(KEY, SECONDS)
+        claimers[1].wait_until_ended(KEY, SECONDS)
         result = claim(claimers[1], "two")
     assert isinstance(result, Won)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, in process."""
+"""The command line, invoked in the test process."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     assert "version 1 accepted, by ada" in history
 
 
-def test_what_get_prints_is_valid_again(log: StandInLog, tmp_path: Path) -> None:
+def test_the_output_of_get_can_be_loaded_again(log: StandInLog, tmp_path: Path) -> None:
     service = ("--log-service", log.address)
     run("apply", NOURLIGHT, *service)
     (tmp_path / "all.yaml").write_text(run("get", *service).output)
@@ -85,7 +85,7 @@
         (["replay", __file__, "--declarations", NOURLIGHT], "test_cli.py:1"),
     ],
 )
-def test_a_bad_setting_ends_with_one_line_that_names_it(
+def test_an_invalid_setting_is_reported_by_name_in_one_line(
     arguments: list[str], named: str
 ) -> None:
     result = run(*arguments)
@@ -101,7 +101,7 @@
     assert result.exit_code == 2 and "--peer is 'nowhere'" in result.stderr
 
 
-def test_an_unreachable_platform_is_named() -> None:
+def test_an_unreachable_platform_is_reported_with_its_address() -> None:
     result = run("get", "--log-service", "127.0.0.1:1")
     assert result.exit_code == 1 and "peer=127.0.0.1:1" in result.stderr
 
--- a/tests/cli/test_logs.py
+++ b/tests/cli/test_logs.py
@@ -1,4 +1,4 @@
-"""``rudderpass logs`` over one or many processes' lines."""
+"""``rudderpass logs`` on the lines of one or more processes."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
     return line(at, "answer", request, ending=ending, status=status, cause=cause)
 
 
-ONE = (
+HOST_1_LOG = (
     line(2.0, "route", "r-1")
     + answer(3.0, "r-1", "served", 200, "")
     + line(4.0, "route", "r-2")
     + answer(5.0, "r-2", "unknown", 502, "cut [step=read peer=10.0.0.1:1]")
 )
-OTHER = (
+HOST_2_LOG = (
     line(1.0, "route", "r-3")
     + line(4.5, "attempt", "r-2")
     + line(4.6, "route", "r-4")
@@ -46,44 +46,44 @@
 
 @pytest.fixture
 def files(tmp_path: Path) -> list[str]:
-    for name, text in (("host-1.log", ONE), ("host-2.log", OTHER)):
+    for name, text in (("host-1.log", HOST_1_LOG), ("host-2.log", HOST_2_LOG)):
         (tmp_path / name).write_text(text)
     return [str(tmp_path / "host-1.log"), str(tmp_path / "host-2.log")]
 
 
-def test_a_requests_story_is_told_over_all_hosts_in_times_order(
+def test_the_lines_of_a_request_are_merged_over_hosts_by_time(
     files: list[str],
 ) -> None:
-    told = run("--request", "r-2", *files).output.splitlines()
-    assert [row.split()[1] for row in told] == ["host-1", "host-2", "host-1"]
+    printed = run("--request", "r-2", *files).output.splitlines()
+    assert [row.split()[1] for row in printed] == ["host-1", "host-2", "host-1"]
     assert ["route", "attempt", "answer"] == [
-        row.split()[2].rstrip(":") for row in told
+        row.split()[2].rstrip(":") for row in printed
     ]
 
 
 def test_failures_are_counted_by_cause_whatever_the_peer(files: list[str]) -> None:
-    told = run("--failed", *files).output.splitlines()
-    assert told == [
+    printed = run("--failed", *files).output.splitlines()
+    assert printed == [
         "    2 unknown 502 cut",
         "      r-2 r-4",
         "    1 cut 0 no answer was logged: the host lost its power or was killed",
         "      r-3",
-        "3 requests ended badly, for 2 causes",
+        "3 requests failed, with 2 causes",
     ]
 
 
-def test_words_before_a_lines_object_name_the_process() -> None:
+def test_a_prefix_before_the_json_object_names_the_process() -> None:
     text = "what happened\n  12.5 host-7 " + answer(5.0, "r-2", "refused", 503, "full")
     assert "host-7 answer: r-2." in run(text=text).output
     assert "    1 refused 503 full" in run("--failed", text=text).output
 
 
-def test_what_is_no_line_is_shown_and_not_counted() -> None:
+def test_an_invalid_line_is_shown_and_not_counted() -> None:
     assert run(text="oops {not json\n").output == "? oops {not json\n"
     assert run("--failed", text="oops {\n").output.startswith("0 requests")
 
 
-def test_a_request_and_all_failures_exclude_each_other() -> None:
+def test_request_and_failed_exclude_each_other() -> None:
     result = run("--failed", "--request", "r-1", text="")
     assert result.exit_code == 2
     assert "exclude each other" in result.output
@@ -118,14 +118,14 @@
 )
 
 
-def test_what_an_upstream_had_under_way_is_told_by_rank() -> None:
-    told = run("--upstream", "u1", "--at", "12.5", text=ENGINE).output.splitlines()
-    assert told == [
+def test_requests_at_an_upstream_are_counted_by_rank() -> None:
+    printed = run("--upstream", "u1", "--at", "12.5", text=ENGINE).output.splitlines()
+    assert printed == [
         "    1 unknown  rank=0 route_tier=0 team_tier=0 tokens=120",
         "    1 waiting  rank=0 route_tier=0 team_tier=0 tokens=120",
         "    1 running  rank=3 route_tier=0 team_tier=1 tokens=120",
         "    1 paused   rank=4 route_tier=1 team_tier=1 tokens=120",
-        "4 requests at u1; the last choice believed 0 under way, slots 2",
+        "4 requests at u1; last routing estimate: 0 in flight, slots 2",
     ]
 
 
@@ -137,14 +137,14 @@
         ("14.5", ["running", "unknown", "running", "running", "unknown"]),
     ],
 )
-def test_states_follow_the_moment(at: str, states: list[str]) -> None:
-    told = run("--upstream", "u1", "--at", at, text=ENGINE).output.splitlines()
-    assert [row.split()[1] for row in told[:-1]] == states
+def test_request_states_depend_on_the_given_time(at: str, states: list[str]) -> None:
+    printed = run("--upstream", "u1", "--at", at, text=ENGINE).output.splitlines()
+    assert [row.split()[1] for row in printed[:-1]] == states
 
 
-def test_an_upstream_that_nobody_chose_has_nothing_under_way() -> None:
-    told = run("--upstream", "u9", "--at", "12.5", text=ENGINE).output
-    assert told.startswith("0 requests at u9; the last choice believed None")
+def test_an_upstream_that_was_never_chosen_has_no_requests() -> None:
+    printed = run("--upstream", "u9", "--at", "12.5", text=ENGINE).output
+    assert printed.startswith("0 requests at u9; last routing estimate: None")
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
         ("--upstream", "u1", "--at", "soon"),
     ],
 )
-def test_an_upstream_and_a_moment_go_together_and_alone(
+def test_upstream_and_at_require_each_other_and_exclude_other_modes(
     arguments: tuple[str, ...],
 ) -> None:
     result = run(*arguments, text="")
@@ -181,7 +181,7 @@
     return line(at, "attempt", "r-later", upstream=upstream, nobody_listens=True)
 
 
-def test_crashed_upstreams_are_told_with_the_requests_under_way() -> None:
+def test_crashed_upstreams_are_listed_with_their_requests_in_flight() -> None:
     text = (
         cut(1.0, "r-bad", "u1", "aa")
         + cut(1.0, "r-2", "u1", "bb")
@@ -189,8 +189,8 @@
         + cut(2.0, "r-bad", "u2", "aa")
         + refusal(2.5, "u2")
     )
-    told = run("--crashes", text=text).output.splitlines()
-    assert told == [
+    printed = run("--crashes", text=text).output.splitlines()
+    assert printed == [
         "1.000 u1 crashed, 2 sends were cut",
         "      aa r-bad from <stdin> after 0.080 s, silent",
         "      bb r-2 from <stdin> after 0.080 s, answered",
@@ -211,5 +211,5 @@
     ],
     ids=["nobody was refused", "refused before", "refused much later", "no cut"],
 )
-def test_a_cut_connection_alone_is_no_crash(text: str) -> None:
+def test_a_cut_connection_alone_is_not_a_crash(text: str) -> None:
     assert run("--crashes", text=text).output == "0 upstreams crashed\n"
--- a/tests/declarations/test_examples.py
+++ b/tests/declarations/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples that ship with the project load."""
+"""The declarations of the bundled examples are valid."""
 
 from pathlib import Path
 
--- a/tests/declarations/test_history.py
+++ b/tests/declarations/test_history.py
@@ -1,4 +1,4 @@
-"""Configuration by replay: two operators, duplicates, snapshots, no way back."""
+"""Replay of the configuration: conflicts, duplicates, snapshots, no older versions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     ServiceClassSpec,
     apply_record,
     build_change,
-    compare,
+    diff_state,
     dump_record,
     parse_snapshot,
     restore_snapshot,
@@ -28,27 +28,29 @@
 URGENT = ObjectKey(Kind.SERVICE_CLASS.value, "urgent")
 
 
-def with_floor(catalog: Catalog, floor: float) -> Catalog:
+def with_floor_share(catalog: Catalog, floor: float) -> Catalog:
     spec = catalog.objects[URGENT]
     assert isinstance(spec, ServiceClassSpec)
     changed = spec.model_copy(update={"floor_share": floor})
     return replace(catalog, objects={**catalog.objects, URGENT: changed})
 
 
-def change_to(state: ConfigState, floor: float, author: str) -> bytes:
-    change = build_change(state, with_floor(state.catalog, floor), author)
+def dump_floor_change(state: ConfigState, floor: float, author: str) -> bytes:
+    change = build_change(state, with_floor_share(state.catalog, floor), author)
     assert change is not None
     return dump_record(change)
 
 
-def test_of_two_racing_changes_the_first_in_the_log_wins() -> None:
+def test_of_two_conflicting_changes_the_first_in_the_log_wins() -> None:
     base = make_state(make_catalog())
-    first, second = change_to(base, 0.1, "ada"), change_to(base, 0.2, "ben")
-    state, verdict = apply_record(base, 1, first)
-    assert verdict is not None and verdict.accepted
-    state, verdict = apply_record(state, 2, second)
-    assert verdict is not None and not verdict.accepted
-    text = verdict.conflicts[0].show()
+    first, second = dump_floor_change(base, 0.1, "ada"), dump_floor_change(
+        base, 0.2, "ben"
+    )
+    state, outcome = apply_record(base, 1, first)
+    assert outcome is not None and outcome.accepted
+    state, outcome = apply_record(state, 2, second)
+    assert outcome is not None and not outcome.accepted
+    text = outcome.conflicts[0].show()
     assert "ServiceClass/urgent" in text and "by ada" in text
     assert "against version 1, now version 2" in text
     assert state.entries[URGENT].author == "ada"
@@ -56,30 +58,30 @@
 
 def test_a_change_is_refused_as_a_whole() -> None:
     base = make_state(make_catalog())
-    state, _ = apply_record(base, 1, change_to(base, 0.1, "ada"))
-    wanted = with_floor(make_catalog(extra={}), 0.3)
-    change = build_change(base, wanted, "ben")
+    state, _ = apply_record(base, 1, dump_floor_change(base, 0.1, "ada"))
+    desired = with_floor_share(make_catalog(extra={}), 0.3)
+    change = build_change(base, desired, "ben")
     assert change is not None and len(change.operations) > 1
-    after, verdict = apply_record(state, 2, dump_record(change))
-    assert verdict is not None and not verdict.accepted
+    after, outcome = apply_record(state, 2, dump_record(change))
+    assert outcome is not None and not outcome.accepted
     assert after.entries == state.entries
 
 
-def test_a_change_that_leaves_a_name_undeclared_is_refused() -> None:
+def test_a_change_that_leaves_a_dangling_reference_is_refused() -> None:
     base = make_state(make_catalog())
     objects = {key: spec for key, spec in base.catalog.objects.items() if key != URGENT}
     change = build_change(base, Catalog(objects), "ada")
     assert change is not None
-    state, verdict = apply_record(base, 1, dump_record(change))
-    assert verdict is not None and not verdict.accepted
-    assert "not declared" in verdict.conflicts[0].reason
+    state, outcome = apply_record(base, 1, dump_record(change))
+    assert outcome is not None and not outcome.accepted
+    assert "not declared" in outcome.conflicts[0].reason
     assert URGENT in state.entries
 
 
-def test_records_of_others_only_move_the_version() -> None:
+def test_records_of_another_format_only_advance_the_version() -> None:
     base = make_state(make_catalog())
-    state, verdict = apply_record(base, 1, b"not ours")
-    assert verdict is None and state.entries == base.entries and state.version == 2
+    state, outcome = apply_record(base, 1, b"not ours")
+    assert outcome is None and state.entries == base.entries and state.version == 2
 
 
 def test_a_snapshot_restores_the_same_state() -> None:
@@ -88,11 +90,11 @@
     assert snapshot is not None
     restored = restore_snapshot(snapshot)
     assert restored == state
-    assert compare(restored, state.catalog) == ()
+    assert diff_state(restored, state.catalog) == ()
 
 
 class ReplayMachine(RuleBasedStateMachine):
-    """Readers that start at any time, from the log or from a peer, all agree."""
+    """Readers that start at any time, from the log or a peer's snapshot, all agree."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -110,14 +112,14 @@
     @rule(back=st.integers(0, 3), floor=st.floats(0, 0.5))
     def change_against_some_version(self, back: int, floor: float) -> None:
         known = self.states[max(1, len(self.states) - 1 - back)]
-        change = build_change(known, with_floor(known.catalog, floor), "racer")
+        change = build_change(known, with_floor_share(known.catalog, floor), "racer")
         if change is None:
             return
         before = self.states[-1]
-        stands = known.version_of(URGENT) == before.version_of(URGENT)
+        is_current = known.version_of(URGENT) == before.version_of(URGENT)
         self.append(change)
         is_in_force = self.states[-1].version_of(URGENT) == self.states[-1].version
-        assert is_in_force is stands
+        assert is_in_force is is_current
 
     @rule()
     def write_snapshot(self) -> None:
--- a/tests/declarations/test_load.py
+++ b/tests/declarations/test_load.py
@@ -1,4 +1,4 @@
-"""Declarations in files: every error has its place and a hint."""
+"""Loading declarations: every error is reported with its file, line and field."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 """.format(digest="a" * 64)
 
 
-def findings(tmp_path: Path, text: str) -> tuple[Finding, ...]:
+def load_findings(tmp_path: Path, text: str) -> tuple[Finding, ...]:
     (tmp_path / "a.yaml").write_text(text)
     loaded = load_declarations(tmp_path)
     assert isinstance(loaded, Failure)
@@ -53,17 +53,17 @@
         ("firstTokenSeconds: 1.1", "firstTokenSeconds: -1", 6, "", "greater than 0"),
         ("classes: [urgent]", "classes: [fast]", 13, "classes.0", "not declared"),
         ("kind: Team", "kind: Crew", 8, "kind", "is not a kind"),
-        ("name: crew", "name: 7", 9, "name", "needs a text"),
+        ("name: crew", "name: 7", 9, "name", "must be a non-empty string"),
         ("name: crew", "nmae: crew", 9, "nmae", "unknown field"),
         ("a" * 64, "secret", 12, "tokenDigests.0", "64 lower-case hex digits"),
         ("kind: Team\nname: crew", "name: crew\nname: crew", 9, "name", "twice"),
     ],
 )
-def test_error_has_its_place(
+def test_an_error_is_reported_with_line_and_field(
     tmp_path: Path, old: str, new: str, line: int, field: str, message: str
 ) -> None:
     assert old in GOOD
-    found = findings(tmp_path, GOOD.replace(old, new))
+    found = load_findings(tmp_path, GOOD.replace(old, new))
     assert any(
         item.line == line and field in item.field and message in item.message
         for item in found
@@ -72,7 +72,7 @@
 
 def test_all_errors_are_reported_at_once(tmp_path: Path) -> None:
     text = GOOD.replace("tier: 1", "tier: 0").replace("a" * 64, "x")
-    assert len(findings(tmp_path, text)) >= 2
+    assert len(load_findings(tmp_path, text)) >= 2
 
 
 @pytest.mark.parametrize(
@@ -83,11 +83,11 @@
         ("- 1", "is not a mapping"),
     ],
 )
-def test_broken_files(tmp_path: Path, text: str, message: str) -> None:
-    assert any(message in item.message for item in findings(tmp_path, text))
+def test_invalid_files_are_errors(tmp_path: Path, text: str, message: str) -> None:
+    assert any(message in item.message for item in load_findings(tmp_path, text))
 
 
-def test_bytes_that_are_not_utf8(tmp_path: Path) -> None:
+def test_a_file_that_is_not_utf8_is_an_error(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").write_bytes(b"kind: \xff")
     loaded = load_declarations(tmp_path)
     assert isinstance(loaded, Failure)
--- a/tests/declarations/test_selectors.py
+++ b/tests/declarations/test_selectors.py
@@ -1,4 +1,4 @@
-"""Label selectors."""
+"""Matching of labels by label selectors."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         ({"exists": False}, False),
     ],
 )
-def test_what_a_selector_accepts(selector: dict[str, object], accepted: bool) -> None:
+def test_selector_matches_labels(selector: dict[str, object], accepted: bool) -> None:
     value: dict[str, object] = {}
     expression: dict[str, object] = {"key": "generation"}
     if "in" in selector:
@@ -52,6 +52,6 @@
         {"key": "a", "operator": "Near", "values": ["x"]},
     ],
 )
-def test_bad_expressions_are_errors(expression: dict[str, object]) -> None:
+def test_invalid_expressions_are_errors(expression: dict[str, object]) -> None:
     with pytest.raises(ValidationError):
         LabelSelector.model_validate({"matchExpressions": [expression]})
--- a/tests/publishing/test_publish.py
+++ b/tests/publishing/test_publish.py
@@ -1,4 +1,4 @@
-"""Publishing declarations: scenarios of publish.feature."""
+"""Publishing declarations: the steps of publish.feature."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     log.close()
 
 
-def with_floor(floor: float) -> Catalog:
+def with_floor_share(floor: float) -> Catalog:
     catalog = make_catalog()
     spec = catalog.objects[URGENT]
     assert isinstance(spec, ServiceClassSpec)
@@ -67,18 +67,18 @@
     world.appends = world.log.appends
 
 
-@given("the log loses its answers")
+@given("responses to appends are lost")
 def loses_answers(world: World) -> None:
     world.log.fault = LogFault.APPEND_ANSWER_LOST
 
 
 @given("the log is down")
-def is_down(world: World) -> None:
+def log_is_down(world: World) -> None:
     world.log.fault = LogFault.DOWN
 
 
-@given("a log that has lost its oldest records behind a snapshot")
-def lost_oldest(world: World) -> None:
+@given("a log whose records before the snapshot have expired")
+def truncated_log(world: World) -> None:
     world.publisher.write_snapshot()
     for number in range(3):
         world.log.append(CONFIG_STREAM, b"of somebody else")
@@ -88,17 +88,17 @@
 @when(
     parsers.parse('"{one}" and "{two}" change the same class against the same version')
 )
-def race(world: World, one: str, two: str) -> None:
-    world.apply(with_floor(0.1), one, world.base)
-    world.apply(with_floor(0.2), two, world.base)
+def conflicting_changes(world: World, one: str, two: str) -> None:
+    world.apply(with_floor_share(0.1), one, world.base)
+    world.apply(with_floor_share(0.2), two, world.base)
 
 
 @when(parsers.parse('"{author}" changes a class'))
 def change(world: World, author: str) -> None:
-    world.apply(with_floor(0.1), author, world.base)
+    world.apply(with_floor_share(0.1), author, world.base)
 
 
-@when(parsers.parse('"{author}" applies what is in force already'))
+@when(parsers.parse('"{author}" applies the declarations already in force'))
 def apply_same(world: World, author: str) -> None:
     world.apply(make_catalog(), author, world.base)
 
@@ -107,8 +107,8 @@
 def accepted(world: World, author: str) -> None:
     result = world.results[author]
     assert isinstance(result, Success), result
-    verdict = result.unwrap().verdict
-    assert verdict is not None and verdict.author == author
+    outcome = result.unwrap().outcome
+    assert outcome is not None and outcome.author == author
 
 
 @then(
@@ -121,13 +121,13 @@
     assert "ServiceClass/urgent" in text and f"by {other}" in text
 
 
-@then("the log holds one record more")
-def one_more(world: World) -> None:
+@then("the log holds one more record")
+def one_more_record(world: World) -> None:
     assert world.log.appends == world.appends + 1
 
 
 @then("the platform is named as the cause")
-def named(world: World) -> None:
+def platform_named(world: World) -> None:
     if world.error is not None:
         assert world.log.address in world.error.show()
         return
@@ -137,12 +137,12 @@
 
 
 @then("nothing is published")
-def nothing(world: World) -> None:
-    assert world.results["ada"].unwrap().verdict is None
+def nothing_published(world: World) -> None:
+    assert world.results["ada"].unwrap().outcome is None
     assert world.log.appends == world.appends
 
 
 @then("a new reader finds the same declarations")
-def same(world: World) -> None:
+def same_declarations(world: World) -> None:
     state = world.publisher.history().state
     assert state.entries == world.base.entries
