--- a/tests/publishing/features/publish.feature
+++ b/tests/publishing/features/publish.feature
@@ -1,18 +1,18 @@
 Feature: Publishing declarations
-  Operators change classes through the platform's log, sometimes concurrently.
+  Operators change classes through the platform's log, sometimes at once.
 
-  Scenario: Two operators make conflicting changes
+  Scenario: Two operators race
     Given declarations in force
     When "ada" and "ben" change the same class against the same version
     Then the change of "ada" is accepted
     And the change of "ben" is refused, naming the class and "ada"
 
-  Scenario: The response to an append is lost
+  Scenario: The answer to an append is lost
     Given declarations in force
-    And responses to appends are lost
+    And the log loses its answers
     When "ada" changes a class
     Then the change of "ada" is accepted
-    And the log holds one more record
+    And the log holds one record more
 
   Scenario: The log is down
     Given declarations in force
@@ -22,10 +22,10 @@
 
   Scenario: Nothing to change
     Given declarations in force
-    When "ada" applies the declarations already in force
+    When "ada" applies what is in force already
     Then nothing is published
 
-  Scenario: A reader starts after old records have expired
+  Scenario: A reader starts after old records have gone
     Given declarations in force
-    And a log whose records before the snapshot have expired
+    And a log that has lost its oldest records behind a snapshot
     Then a new reader finds the same declarations
--- a/tests/publishing/test_publish.py
+++ b/tests/publishing/test_publish.py
@@ -67,7 +67,7 @@
     world.appends = world.log.appends
 
 
-@given("responses to appends are lost")
+@given("the log loses its answers")
 def loses_answers(world: World) -> None:
     world.log.fault = LogFault.APPEND_ANSWER_LOST
 
@@ -77,7 +77,7 @@
     world.log.fault = LogFault.DOWN
 
 
-@given("a log whose records before the snapshot have expired")
+@given("a log that has lost its oldest records behind a snapshot")
 def truncated_log(world: World) -> None:
     world.publisher.write_snapshot()
     for number in range(3):
@@ -98,7 +98,7 @@
     world.apply(with_floor_share(0.1), author, world.base)
 
 
-@when(parsers.parse('"{author}" applies the declarations already in force'))
+@when(parsers.parse('"{author}" applies what is in force already'))
 def apply_same(world: World, author: str) -> None:
     world.apply(make_catalog(), author, world.base)
 
@@ -121,7 +121,7 @@
     assert "ServiceClass/urgent" in text and f"by {other}" in text
 
 
-@then("the log holds one more record")
+@then("the log holds one record more")
 def one_more_record(world: World) -> None:
     assert world.log.appends == world.appends + 1
 
