--- a/src/rudderpass/gossip/_codec.py
+++ b/src/rudderpass/gossip/_codec.py
@@ -16,9 +16,9 @@
 )
 from rudderpass._thrift import decode_struct, encode_struct
 from rudderpass.directory import URGENCY_RANKS, DirectoryState, KeyedRecord
-from rudderpass.duties import DutyNews
+from rudderpass.duties import DutyStatus
 from rudderpass.errors import PeerError
-from rudderpass.exchange import Load, PartId, PromptPart, Reading, SentPrompt
+from rudderpass.exchange import Load, PartId, PrefillRate, PromptPart, SentPrompt
 from rudderpass.gossip._digest import Digest, Member
 from rudderpass.gossip._duties import usage_from_wire, usage_to_wire
 from rudderpass.gossip._gen.wire import ttypes as wire
@@ -122,10 +122,10 @@
         raise PeerError(f"invalid heartbeat: {error}", step="decode") from error
 
 
-def _duty_from_wire(raw: wire.Beat) -> DutyNews | None:
+def _duty_from_wire(raw: wire.Beat) -> DutyStatus | None:
     if raw.duty_token is None:
         return None
-    return DutyNews(
+    return DutyStatus(
         FencingToken(raw.duty_token), bool(raw.holds_duties), raw.usage_settled or 0
     )
 
@@ -330,16 +330,18 @@
 
 def _reading_from_wire(
     raw: list[wire.ServiceReading] | None,
-) -> dict[PoolId, Reading]:
+) -> dict[PoolId, PrefillRate]:
     return {
-        PoolId(required(item.pool)): Reading(
+        PoolId(required(item.pool)): PrefillRate(
             float(max(0, required(item.tight))), float(max(0, required(item.other)))
         )
         for item in raw or ()
     }
 
 
-def _reading_to_wire(reading: Mapping[PoolId, Reading]) -> list[wire.ServiceReading]:
+def _reading_to_wire(
+    reading: Mapping[PoolId, PrefillRate],
+) -> list[wire.ServiceReading]:
     rounded = [
         wire.ServiceReading(
             service,
--- a/src/rudderpass/gossip/_relays.py
+++ b/src/rudderpass/gossip/_relays.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from rudderpass._ids import AvailabilityZone, NodeId
-from rudderpass.exchange import RETELL_SECONDS, SentPrompt
+from rudderpass.exchange import RESEND_SECONDS, SentPrompt
 from rudderpass.gossip._hashing import hash_host
 from rudderpass.gossip._peer_table import PeerTable
 from rudderpass.learning import StreamSample
@@ -130,7 +130,7 @@
         streams: Iterable[StreamSample],
         now: float,
     ) -> None:
-        """Queue items to forward, each prompt at most once in RETELL_SECONDS.
+        """Queue items to forward, each prompt at most once in RESEND_SECONDS.
 
         :param is_own_zone: whether they come from a host of the own zone; then they are
             forwarded to the other zones, too.
@@ -148,11 +148,11 @@
         self._queued_at = {
             prompt: at
             for prompt, at in self._queued_at.items()
-            if now - at < RETELL_SECONDS
+            if now - at < RESEND_SECONDS
         }
 
     def _is_due(self, prompt: SentPrompt, now: float) -> bool:
-        if now - self._queued_at.get(prompt, float("-inf")) < RETELL_SECONDS:
+        if now - self._queued_at.get(prompt, float("-inf")) < RESEND_SECONDS:
             return False
         self._queued_at[prompt] = now
         return True
--- a/tests/declarations/test_history.py
+++ b/tests/declarations/test_history.py
@@ -22,7 +22,7 @@
     restore_snapshot,
     take_snapshot,
 )
-from tests.builders import make_catalog, make_state
+from tests.builders import make_catalog, make_config_state
 from tests.fuzz import make_settings
 
 URGENT = ObjectKey(Kind.SERVICE_CLASS.value, "urgent")
@@ -42,7 +42,7 @@
 
 
 def test_of_two_conflicting_changes_the_first_in_the_log_wins() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     first, second = dump_floor_change(base, 0.1, "ada"), dump_floor_change(
         base, 0.2, "ben"
     )
@@ -57,7 +57,7 @@
 
 
 def test_a_change_is_refused_as_a_whole() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     state, _ = apply_record(base, 1, dump_floor_change(base, 0.1, "ada"))
     desired = with_floor_share(make_catalog(extra={}), 0.3)
     change = build_change(base, desired, "ben")
@@ -68,7 +68,7 @@
 
 
 def test_a_change_that_leaves_a_dangling_reference_is_refused() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     objects = {key: spec for key, spec in base.catalog.objects.items() if key != URGENT}
     change = build_change(base, Catalog(objects), "ada")
     assert change is not None
@@ -79,13 +79,13 @@
 
 
 def test_records_of_another_format_only_advance_the_version() -> None:
-    base = make_state(make_catalog())
+    base = make_config_state(make_catalog())
     state, outcome = apply_record(base, 1, b"not ours")
     assert outcome is None and state.entries == base.entries and state.version == 2
 
 
 def test_a_snapshot_restores_the_same_state() -> None:
-    state = make_state(make_catalog())
+    state = make_config_state(make_catalog())
     snapshot = parse_snapshot(dump_record(take_snapshot(state)))
     assert snapshot is not None
     restored = restore_snapshot(snapshot)
--- a/tests/exchange/test_retry_after.py
+++ b/tests/exchange/test_retry_after.py
@@ -7,19 +7,19 @@
 import pytest
 
 from rudderpass.exchange import (
-    AnswerHead,
-    AnswerKind,
     Assignment,
     ExchangeCore,
     RefusalReason,
     Refused,
+    ResponseHead,
+    ResponseKind,
 )
 from tests.directory.builders import make_route
 from tests.exchange.builders import accept, assign, make_core, make_request
-from tests.exchange.test_serve import MakeWorld, make_world
-from tests.exchange.world import answer, raw
+from tests.exchange.harness import answer, raw
+from tests.exchange.test_serve import MakeHarness, make_harness
 
-__all__ = ["make_world"]
+__all__ = ["make_harness"]
 
 RETRY_AFTER_SECONDS = 3.0
 GRACE_SECONDS = 0.5
@@ -30,12 +30,18 @@
 
 
 def refuse_at(core: ExchangeCore, assigned: Assignment, now: float) -> None:
-    head = AnswerHead(
-        AnswerKind.NOT_RUN, 503, "Busy", (), False, 0.0, retry_after=RETRY_AFTER_SECONDS
+    head = ResponseHead(
+        ResponseKind.NOT_RUN,
+        503,
+        "Busy",
+        (),
+        False,
+        0.0,
+        retry_after=RETRY_AFTER_SECONDS,
     )
-    core.note_head(assigned, head, now)
-    core.note_refused(assigned, now)
-    core.note_end(assigned, None, now)
+    core.record_head(assigned, head, now)
+    core.record_refusal(assigned, now)
+    core.record_end(assigned, None, now)
 
 
 def test_an_upstream_gets_no_requests_until_its_retry_after_has_passed() -> None:
@@ -46,7 +52,7 @@
     for step in range(60):
         now = GRACE_SECONDS + 0.1 * step
         assigned = assign(core, make_request(), now)
-        core.note_end(assigned, True, now)
+        core.record_end(assigned, True, now)
         if assigned.upstream == refusing.upstream:
             early += now < RETRY_AFTER_SECONDS
             late += now >= RETRY_AFTER_SECONDS
@@ -54,24 +60,24 @@
     assert late > 0, "it gets requests again after its Retry-After"
 
 
-def test_an_answer_to_an_earlier_request_does_not_end_retry_after() -> None:
+def test_a_response_to_an_earlier_request_does_not_end_retry_after() -> None:
     core = make_core(upstreams=1)
     earlier, refused = (assign(core, make_request(), 0.0) for _ in range(2))
     refuse_at(core, refused, 0.1)
-    core.note_answering(earlier, 0.2)
-    core.note_end(earlier, True, 0.3)
+    core.record_response_start(earlier, 0.2)
+    core.record_end(earlier, True, 0.3)
     assert not core.takes_work(refused, 1.0)
 
 
 def test_requests_are_refused_while_retry_after_rules_out_all_upstreams(
-    make_world: MakeWorld,
+    make_harness: MakeHarness,
 ) -> None:
     busy = raw(
         b"HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nRetry-After: 2\r\n"
         b"Content-Length: 0\r\n\r\n",
         end=False,
     )
-    world = make_world(make_route(), busy, busy)
+    world = make_harness(make_route(), busy, busy)
     assert world.ask("r0").status == 503
     until = time.monotonic() + 1.2
     while time.monotonic() < until:
@@ -79,41 +85,43 @@
         assert reply.status == 503
         assert 0.0 < float(reply.headers["Retry-After"]) <= 2.0
         time.sleep(0.05)
-    assert world.ran == [1, 1]
+    assert world.request_counts == [1, 1]
 
 
 def test_requests_over_sockets_avoid_an_upstream_that_sent_retry_after(
-    make_world: MakeWorld,
+    make_harness: MakeHarness,
 ) -> None:
     busy = raw(
         b"HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nRetry-After: 2\r\n"
         b"Content-Length: 0\r\n\r\n",
         end=False,
     )
-    world = make_world(make_route(), busy, answer())
+    world = make_harness(make_route(), busy, answer())
     until = time.monotonic() + 1.2
     while time.monotonic() < until:
         assert world.ask("r1").status == 200
         time.sleep(0.05)
-    assert world.ran[0] == 1
+    assert world.request_counts[0] == 1
 
 
 @pytest.mark.parametrize(
     ("kind", "status", "applies"),
     [
-        (AnswerKind.NOT_RUN, 503, True),
-        (AnswerKind.FAILURE, 503, True),
-        (AnswerKind.NOT_RUN, 429, False),
-        (AnswerKind.SUCCESS, 200, False),
+        (ResponseKind.NOT_RUN, 503, True),
+        (ResponseKind.FAILURE, 503, True),
+        (ResponseKind.NOT_RUN, 429, False),
+        (ResponseKind.SUCCESS, 200, False),
     ],
 )
 def test_retry_after_applies_only_to_a_503(
-    kind: AnswerKind, status: int, applies: bool
+    kind: ResponseKind, status: int, applies: bool
 ) -> None:
     core = make_core(upstreams=1)
     assigned = assign(core, make_request(), 0.0)
-    head = AnswerHead(kind, status, "", (), False, 0.0, retry_after=RETRY_AFTER_SECONDS)
-    core.note_head(assigned, head, 0.0)
+    head = ResponseHead(
+        kind, status, "", (), False, 0.0, retry_after=RETRY_AFTER_SECONDS
+    )
+    core.record_head(assigned, head, 0.0)
     assert core.takes_work(assigned, 1.0) is not applies
 
 
--- a/tests/gossip/test_peer_table.py
+++ b/tests/gossip/test_peer_table.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from rudderpass._ids import FencingToken, NodeId
-from rudderpass.duties import DutyNews
+from rudderpass.duties import DutyStatus
 from rudderpass.gossip import Heartbeat, PeerTable
 
 OWN = NodeId("10.0.0.1:1")
@@ -125,7 +125,7 @@
     for second in range(8):
         # The first hears from the store every 2.5 s and reports so in some heartbeats.
         is_following = second in (0, 2)
-        duty = DutyNews(FencingToken(1))
+        duty = DutyStatus(FencingToken(1))
         for peer in (follower, other, holder, stopping):
             peer_duty = replace(duty, holds=peer == holder)
             peers.receive_heartbeat(
