--- a/src/rudderpass/demo/_caller.py
+++ b/src/rudderpass/demo/_caller.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import dataclass, field
 
-from rudderpass.demo._world import token_of
+from rudderpass.demo._deployment import token_of
 from rudderpass.gateway import (
     CLASS_HEADER,
     KEY_HEADER,
--- a/src/rudderpass/demo/_checks.py
+++ b/src/rudderpass/demo/_checks.py
@@ -8,7 +8,7 @@
 from rudderpass._ids import ClassName
 from rudderpass.declarations import Catalog
 from rudderpass.demo._caller import Answer
-from rudderpass.demo._world import World
+from rudderpass.demo._deployment import World
 from rudderpass.routing import find_route
 from rudderpass.streams import Outcome
 
--- a/src/rudderpass/demo/_run.py
+++ b/src/rudderpass/demo/_run.py
@@ -13,8 +13,8 @@
 from rudderpass.declarations import Catalog, Kind, ServiceClassSpec
 from rudderpass.demo._caller import Answer, send
 from rudderpass.demo._checks import Incidents, check_promises
+from rudderpass.demo._deployment import World
 from rudderpass.demo._report import DemoResult, build_rows
-from rudderpass.demo._world import World
 from rudderpass.errors import DeclarationError
 from rudderpass.membership import HostState
 from rudderpass.replay import Arrival, TraceLine
--- a/tests/demo/test_checks.py
+++ b/tests/demo/test_checks.py
@@ -11,8 +11,8 @@
 from rudderpass.declarations import Catalog
 from rudderpass.demo._caller import Answer
 from rudderpass.demo._checks import Incidents, check_promises
+from rudderpass.demo._deployment import World
 from rudderpass.demo._report import build_rows
-from rudderpass.demo._world import World
 from rudderpass.replay import Arrival
 from rudderpass.standins._engine import EngineCounts
 from rudderpass.streams import Outcome
