--- a/src/rudderpass/bench/__init__.py
+++ b/src/rudderpass/bench/__init__.py
@@ -1,6 +1,6 @@
 """Load for measurements, over our own stand-ins."""
 
-from rudderpass.bench._slopes import (
+from rudderpass.bench._control_cost import (
     ControlCost as ControlCost,
     MessageCost as MessageCost,
     SystemSize as SystemSize,
