--- a/src/rudderpass/replay/_attempts.py
+++ b/src/rudderpass/replay/_attempts.py
@@ -8,7 +8,7 @@
 from rudderpass.errors import UpstreamError
 from rudderpass.pools import Granted
 from rudderpass.replay._engine import EngineWork, WorkEnd
-from rudderpass.replay._virtual import Caller, Ground, VirtualNode
+from rudderpass.replay._entities import Caller, Ground, VirtualNode
 from rudderpass.routing import GrantOutcome, Usage
 from rudderpass.streams import NextStep, Outcome, decide_next, note_failure, outcome_of
 from rudderpass.upstreams import CONNECT_TIMEOUT
--- a/src/rudderpass/replay/_cluster.py
+++ b/src/rudderpass/replay/_cluster.py
@@ -31,10 +31,10 @@
 from rudderpass.pools import Granted, Refused
 from rudderpass.replay._attempts import Attempts
 from rudderpass.replay._engine import FakeEngine
+from rudderpass.replay._entities import Caller, VirtualNode, gap_of, hash_prefix
 from rudderpass.replay._faults import Faults
 from rudderpass.replay._policies import Place, Policy, Scheduler, make_scheduler
 from rudderpass.replay._trace import Arrival, Fault
-from rudderpass.replay._virtual import Caller, VirtualNode, gap_of, hash_prefix
 from rudderpass.streams import AttemptState
 
 _TICK_SECONDS = 0.1
--- a/src/rudderpass/replay/_faults.py
+++ b/src/rudderpass/replay/_faults.py
@@ -5,8 +5,8 @@
 import simpy
 
 from rudderpass._ids import AvailabilityZone, UpstreamId
+from rudderpass.replay._entities import Caller, Ground, VirtualNode
 from rudderpass.replay._trace import Fault
-from rudderpass.replay._virtual import Caller, Ground, VirtualNode
 from rudderpass.streams import AttemptState, Outcome
 
 
--- a/src/rudderpass/replay/_generate.py
+++ b/src/rudderpass/replay/_generate.py
@@ -10,8 +10,8 @@
 
 from rudderpass._ids import ClassName, PoolId
 from rudderpass.declarations import Catalog, RouteSpec
+from rudderpass.replay._entities import gap_of
 from rudderpass.replay._trace import Arrival, Fault, TraceLine
-from rudderpass.replay._virtual import gap_of
 
 _BATCH_SLOWDOWN = 1.5
 _MEAN_TOKENS = 60.0
--- a/src/rudderpass/replay/_result.py
+++ b/src/rudderpass/replay/_result.py
@@ -8,7 +8,7 @@
 from rudderpass._ids import ClassName
 from rudderpass.declarations import Catalog, ServiceClassSpec
 from rudderpass.replay._cluster import Cluster
-from rudderpass.replay._virtual import Caller
+from rudderpass.replay._entities import Caller
 from rudderpass.streams import Outcome
 
 
