--- a/src/rudderpass/bench/__init__.py
+++ b/src/rudderpass/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Load for measurements, over our own stand-ins."""
+"""Benchmarks: load generation and measurement against the stand-ins."""
 
 from rudderpass.bench._control_cost import (
     ControlCost as ControlCost,
--- a/src/rudderpass/bench/_control_cost.py
+++ b/src/rudderpass/bench/_control_cost.py
@@ -1,7 +1,7 @@
-"""What control costs as the system grows: slopes over several numbers of nodes.
+"""The cost of control (decisions and peer messages) on one node, by system size.
 
-All node cores run in one process and pass their messages, encoded as they would be
-on the wire, directly to each other. Only one of them is timed.
+All node cores run in one process and pass their messages directly to each other. Only
+one core is measured; its messages are encoded as for the wire, to count their cost.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
 _ZONES = 6
 _TIERS = 5
 _TICK_SECONDS = 0.1
-_WARM_SECONDS = 3
+_WARMUP_SECONDS = 3
 _SEED = 7
-_HOLD_SECONDS = 4.0
+_MEAN_SERVICE_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
 class SystemSize:
-    """How large the measured system is.
+    """The size of the measured system.
 
-    :param requests: requests a second over all nodes.
-    :param seconds: virtual seconds that are measured.
+    :param requests: requests per second over all nodes.
+    :param seconds: virtual seconds of the measurement.
     """
 
     nodes: int
@@ -66,13 +66,13 @@
 
 @dataclass
 class ControlCost:
-    """What one node spends on control, a second.
+    """The cost of control on one node.
 
-    :param cpu: processor seconds a second, decisions and encoding.
-    :param sent_messages: messages that leave the measured node a second.
-    :param mean_messages: the same, on the average over all nodes.
-    :param sent_bytes: payload that leaves the node a second.
-    :param state_bytes: memory of one node's core, with its configuration.
+    :param cpu: CPU seconds per second, for decisions and encoding.
+    :param sent_messages: messages per second that the measured node sends.
+    :param mean_messages: the same, averaged over all nodes.
+    :param sent_bytes: payload bytes per second that the node sends.
+    :param state_bytes: memory of one node's core, including its configuration.
     """
 
     size: SystemSize
@@ -122,18 +122,18 @@
     return Catalog(objects)
 
 
-class _Network:
-    """Node cores that pass messages at once, one of them measured."""
+class _InProcessCluster:
+    """Node cores that deliver messages without delay; one of them is measured."""
 
     def __init__(self, size: SystemSize) -> None:
         self.size = size
         self.rng = random.Random(_SEED)
         self.now = 0.0
-        self.serial = 0
+        self.request_count = 0
         self.cost = ControlCost(size)
-        self.counting = False
-        self.all_messages = 0
-        self.held: list[tuple[float, int, RequestId]] = []
+        self.measuring = False
+        self.total_messages = 0
+        self.in_flight: list[tuple[float, int, RequestId]] = []
         catalog = make_system(size)
         change = build_change(ConfigState(), catalog, "bench", "bench")
         assert change is not None
@@ -152,21 +152,23 @@
             NodeCore(host.node, host.zone, number + 1, random.Random(number))
             for number, host in enumerate(hosts)
         ]
-        self.numbers = {core.node: number for number, core in enumerate(self.cores)}
-        self.by_id = {core.node: core for core in self.cores}
+        self.core_indexes = {
+            core.node: number for number, core in enumerate(self.cores)
+        }
+        self.cores_by_id = {core.node: core for core in self.cores}
         tracemalloc.start()
-        own = restore_snapshot(take_snapshot(state))
+        own_state = restore_snapshot(take_snapshot(state))
         self.cores[0].take_hosts(hosts, 0.0)
-        self.cores[0].take_config(own, "bench", 0.0)
+        self.cores[0].take_config(own_state, "bench", 0.0)
         self.cost.state_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         for core in self.cores[1:]:
             core.take_hosts(hosts, 0.0)
             core.take_config(state, "bench", 0.0)
-        self.measured = self._pick_measured()
+        self.measured = self._choose_measured()
 
-    def _pick_measured(self) -> NodeCore:
-        """Return the node that owns the most pools: the worst placed one."""
+    def _choose_measured(self) -> NodeCore:
+        """Return the node that owns the most pools, which is the worst case."""
         return max(self.cores, key=lambda core: (len(core.owned), core.node))
 
     def run(self, seconds: float) -> None:
@@ -174,68 +176,70 @@
         while self.now < end:
             self.now += _TICK_SECONDS
             for core in self.cores:
-                self._on(core, partial(core.tick, self.now))
-            self._arrive()
-            self._finish()
+                self._run_on(core, partial(core.tick, self.now))
+            self._submit_arrivals()
+            self._finish_due()
 
-    def _arrive(self) -> None:
+    def _submit_arrivals(self) -> None:
         count = self.size.requests * _TICK_SECONDS
-        whole = int(count) + (self.rng.random() < count % 1)
-        for _ in range(whole):
+        arrivals = int(count) + (self.rng.random() < count % 1)
+        for _ in range(arrivals):
             number = self.rng.randrange(len(self.cores))
             core = self.cores[number]
-            self.serial += 1
+            self.request_count += 1
             submission = Submission(
-                RequestId(f"req-{self.serial:032d}.0"),
+                RequestId(f"req-{self.request_count:032d}.0"),
                 TeamId(f"team-{self.rng.randrange(self.size.teams)}"),
                 ClassName(f"tier-{self.rng.randint(1, _TIERS)}"),
                 self.rng.choice(self.models),
                 "/v1/chat/completions",
                 prefix_hash=self.rng.getrandbits(60),
             )
-            self._on(core, partial(core.submit, submission, self.now))
+            self._run_on(core, partial(core.submit, submission, self.now))
 
-    def _finish(self) -> None:
-        due = [item for item in self.held if item[0] <= self.now]
-        self.held = [item for item in self.held if item[0] > self.now]
+    def _finish_due(self) -> None:
+        due = [item for item in self.in_flight if item[0] <= self.now]
+        self.in_flight = [item for item in self.in_flight if item[0] > self.now]
         for _, number, request_id in due:
-            usage = Usage(GrantOutcome.COMPLETED, 120, 0.2, _HOLD_SECONDS)
+            usage = Usage(GrantOutcome.COMPLETED, 120, 0.2, _MEAN_SERVICE_SECONDS)
             core = self.cores[number]
-            self._on(core, partial(core.finish, request_id, usage, self.now))
+            self._run_on(core, partial(core.finish, request_id, usage, self.now))
 
-    def _on(self, core: NodeCore, event: Callable[[], list[CoreAction]]) -> None:
-        timed = self.counting and core is self.measured
-        began = time.process_time() if timed else 0.0
+    def _run_on(self, core: NodeCore, event: Callable[[], list[CoreAction]]) -> None:
+        timed = self.measuring and core is self.measured
+        started = time.process_time() if timed else 0.0
         actions = event()
         if timed:
-            self.cost.cpu += time.process_time() - began
-        self._carry_out(core, actions)
+            self.cost.cpu += time.process_time() - started
+        self._execute(core, actions)
 
-    def _carry_out(self, core: NodeCore, actions: Sequence[CoreAction]) -> None:
+    def _execute(self, core: NodeCore, actions: Sequence[CoreAction]) -> None:
         for action in actions:
             if isinstance(action, SendPeer):
                 self._send(core, action)
             elif isinstance(action, Granted):
-                number = self.numbers[core.node]
-                hold = self.now + self.rng.expovariate(1 / _HOLD_SECONDS)
-                self.held.append((hold, number, action.request_id))
+                number = self.core_indexes[core.node]
+                finish_at = self.now + self.rng.expovariate(1 / _MEAN_SERVICE_SECONDS)
+                self.in_flight.append((finish_at, number, action.request_id))
             elif isinstance(action, Refused):
-                raise AssertionError(f"the system is too small: {action.reason}")
+                raise AssertionError(
+                    f"request refused, system too small for the load: {action.reason}"
+                )
 
     def _send(self, core: NodeCore, action: SendPeer) -> None:
-        if self.counting:
-            self.all_messages += 1
-        if self.counting and core is self.measured:
+        if self.measuring:
+            self.total_messages += 1
+        if self.measuring and core is self.measured:
             self._count_sent(action)
-        peer = self.by_id[action.peer]
-        if self.counting and peer is self.measured:
+        peer = self.cores_by_id[action.peer]
+        if self.measuring and peer is self.measured:
             self._count_received(action)
-        self._on(peer, lambda: peer.receive(core.node, action.message, self.now))
+        self._run_on(peer, lambda: peer.receive(core.node, action.message, self.now))
 
     def _count_sent(self, action: SendPeer) -> None:
-        began = time.process_time()
+        started = time.process_time()
         size = measure_batch(action.message, action.reliable, self.now)
-        self.cost.cpu += time.process_time() - began
+        self.cost.cpu += time.process_time() - started
         self.cost.sent_messages += 1
         self.cost.sent_calls += action.reliable
         self.cost.sent_bytes += size
@@ -243,40 +247,42 @@
         self.cost.kinds[name] = self.cost.kinds.get(name, 0) + size
 
     def _count_received(self, action: SendPeer) -> None:
-        began = time.process_time()
+        started = time.process_time()
         size = measure_batch(action.message, action.reliable, self.now)
-        self.cost.cpu += time.process_time() - began
+        self.cost.cpu += time.process_time() - started
         self.cost.received_bytes += size
 
 
 def measure_control(sizes: Sequence[SystemSize]) -> Iterator[ControlCost]:
-    """Yield what control costs one node, for each size."""
+    """Yield the cost of control on one node, for each size."""
     for size in sizes:
-        network = _Network(size)
-        network.run(_WARM_SECONDS)
-        network.counting = True
-        network.run(size.seconds)
-        cost = network.cost
+        cluster = _InProcessCluster(size)
+        cluster.run(_WARMUP_SECONDS)
+        cluster.measuring = True
+        cluster.run(size.seconds)
+        cost = cluster.cost
         cost.cpu /= size.seconds
         cost.sent_messages /= size.seconds
         cost.sent_calls /= size.seconds
-        cost.mean_messages = network.all_messages / size.seconds / size.nodes
+        cost.mean_messages = cluster.total_messages / size.seconds / size.nodes
         cost.sent_bytes /= size.seconds
         cost.received_bytes /= size.seconds
-        cost.kinds = {name: size_ / size.seconds for name, size_ in cost.kinds.items()}
+        cost.kinds = {
+            name: byte_count / size.seconds for name, byte_count in cost.kinds.items()
+        }
         yield cost
 
 
 @dataclass(frozen=True)
 class MessageCost:
-    """Processor seconds of one message, both sides together."""
+    """CPU seconds of one message, sender and receiver together."""
 
     call: float
     datagram: float
 
 
 def measure_messages(count: int) -> MessageCost:
-    """Measure calls and datagrams over loopback, one after the other."""
+    """Measure calls, then datagrams, over loopback."""
     return MessageCost(
         _measure_messages(count, reliable=True),
         _measure_messages(count, reliable=False),
@@ -285,16 +291,18 @@
 
 def _measure_messages(count: int, reliable: bool) -> float:
     keys = FixedKeys(PeerKeys((b"a-secret-of-the-bench",)))
-    taken = threading.Semaphore(0)
-    server = PeerServer("127.0.0.1:0", keys, lambda *_: taken.release(), lambda _: None)
+    received = threading.Semaphore(0)
+    server = PeerServer(
+        "127.0.0.1:0", keys, lambda *_: received.release(), lambda _: None
+    )
     server.start()
     sender = NodeId("127.0.0.1:1")
     links = PeerLinks(sender, 1, keys, server.datagrams, lambda *_: None)
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(count):
         links.send(server.node, Probe(1), reliable)
-        taken.acquire(timeout=1.0)
-    used = time.process_time() - began
+        received.acquire(timeout=1.0)
+    cpu_seconds = time.process_time() - started
     links.close()
     server.close()
-    return used / count
+    return cpu_seconds / count
--- a/src/rudderpass/bench/_streams.py
+++ b/src/rudderpass/bench/_streams.py
@@ -1,7 +1,7 @@
-"""Many streams at once, read by one thread, each token timed against its making.
+"""Concurrent streams, read by one thread that measures the latency of every token.
 
-The stand-in engine writes the time at which it made a token into the token, on the
-clock that all processes of a host share.
+The stand-in engine puts each token's creation time into its chunk, by the monotonic
+clock, which all processes of a host share.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from rudderpass.standins import mark_prompt
 from rudderpass.streams import ChunkDecoder
 
-_MADE = re.compile(rb'"created": (\d+)')
+_CREATED_NS = re.compile(rb'"created": (\d+)')
 _READ_BYTES = 65536
-_NANOSECONDS = 1e9
-_SILENCE_SECONDS = 20.0
+_NANOSECONDS_PER_SECOND = 1e9
+_IDLE_TIMEOUT_SECONDS = 20.0
 _HEAD_END = b"\r\n\r\n"
 
 
 @dataclass(frozen=True)
 class StreamLoad:
-    """What to send, and where.
+    """The streams to open, and their addresses.
 
     :param addresses: the streams are spread evenly over them.
-    :param ramp: seconds over which the streams begin.
+    :param ramp: seconds over which the streams are opened.
     """
 
     addresses: tuple[str, ...]
@@ -42,7 +42,7 @@
 
 @dataclass
 class StreamTimes:
-    """What was seen. Times are seconds."""
+    """Measurements of all streams. Times are seconds."""
 
     delays: list[float] = field(default_factory=list)
     gaps: list[float] = field(default_factory=list)
@@ -53,16 +53,16 @@
 
 
 @dataclass(eq=False)
-class _Reader:
+class _StreamReader:
     """One stream being read."""
 
     sock: socket.socket
-    began: float
+    started: float
     decoder: ChunkDecoder = field(default_factory=ChunkDecoder)
     head: bytes = b""
     in_body: bool = False
-    held: bytes = b""
-    last: float = 0.0
+    pending: bytes = b""
+    last_token_at: float = 0.0
     tokens: int = 0
 
 
@@ -75,7 +75,7 @@
 
 
 def run_streams(load: StreamLoad) -> StreamTimes:
-    """Open the streams, read them to their ends, and time every token."""
+    """Open the streams, read them to their ends, and measure every token."""
     times = StreamTimes()
     selector = selectors.DefaultSelector()
     started = time.monotonic()
@@ -97,22 +97,24 @@
                 selector.unregister(key.data.sock)
                 key.data.sock.close()
                 active -= 1
-        if time.monotonic() - last_data > _SILENCE_SECONDS:
-            raise RudderpassError("the streams fell silent", step="bench")
+        if time.monotonic() - last_data > _IDLE_TIMEOUT_SECONDS:
+            raise RudderpassError(
+                f"no data from any stream for {_IDLE_TIMEOUT_SECONDS:g} s", step="bench"
+            )
     times.seconds = time.monotonic() - started
     return times
 
 
-def _open(load: StreamLoad, number: int) -> _Reader:
+def _open(load: StreamLoad, number: int) -> _StreamReader:
     address = load.addresses[number % len(load.addresses)]
     host, _, port = address.rpartition(":")
     prompt = mark_prompt("bench", f"bench-{number}", load.tokens)
-    value = {
+    request = {
         "model": load.model,
         "stream": True,
         "messages": [{"role": "user", "content": prompt}],
     }
-    body = json.dumps(value).encode()
+    body = json.dumps(request).encode()
     head = (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: {address}\r\n"
         f"Authorization: Bearer {load.token}\r\nContent-Type: application/json\r\n"
@@ -121,44 +123,46 @@
     sock = socket.create_connection((host, int(port)), timeout=5.0)
     sock.sendall(head.encode() + body)
     sock.setblocking(False)
-    return _Reader(sock, time.monotonic())
+    return _StreamReader(sock, time.monotonic())
 
 
-def _read(reader: _Reader, times: StreamTimes, wanted: int) -> bool:
-    """Read what is there; tell whether the stream goes on."""
+def _read(reader: _StreamReader, times: StreamTimes, expected_tokens: int) -> bool:
+    """Read the available data; return whether the stream continues."""
     try:
         data = reader.sock.recv(_READ_BYTES)
     except BlockingIOError:
         return True
     now = time.monotonic()
     if not data:
-        times.incomplete += reader.tokens != wanted
+        times.incomplete += reader.tokens != expected_tokens
         return False
     if not reader.in_body:
         reader.head += data
-        head, found, data = reader.head.partition(_HEAD_END)
-        if not found:
+        head, separator, data = reader.head.partition(_HEAD_END)
+        if not separator:
             return True
         reader.in_body = True
         if b" 200 " not in head.split(b"\r\n", 1)[0]:
             raise RudderpassError(head.decode(errors="replace"), step="bench")
-    _take(reader, reader.decoder.feed(data), times, now)
+    _record_tokens(reader, reader.decoder.feed(data), times, now)
     if reader.decoder.is_done:
-        times.incomplete += reader.tokens != wanted
+        times.incomplete += reader.tokens != expected_tokens
         return False
     return True
 
 
-def _take(reader: _Reader, content: bytes, times: StreamTimes, now: float) -> None:
-    held = reader.held + content
-    end = held.rfind(b"\n\n") + 2
-    whole, reader.held = held[:end], held[end:]
-    for made in _MADE.findall(whole):
-        times.delays.append(now - int(made) / _NANOSECONDS)
+def _record_tokens(
+    reader: _StreamReader, content: bytes, times: StreamTimes, now: float
+) -> None:
+    buffered = reader.pending + content
+    end = buffered.rfind(b"\n\n") + 2
+    events, reader.pending = buffered[:end], buffered[end:]
+    for created in _CREATED_NS.findall(events):
+        times.delays.append(now - int(created) / _NANOSECONDS_PER_SECOND)
         if reader.tokens == 0:
-            times.first_tokens.append(now - reader.began)
+            times.first_tokens.append(now - reader.started)
         else:
-            times.gaps.append(now - reader.last)
-        reader.last = now
+            times.gaps.append(now - reader.last_token_at)
+        reader.last_token_at = now
         reader.tokens += 1
         times.tokens += 1
--- a/src/rudderpass/cli/_bench.py
+++ b/src/rudderpass/cli/_bench.py
@@ -24,7 +24,7 @@
 )
 from rudderpass.cli._base import json_option, print_json, quiet_libraries
 from rudderpass.cli._nodes import read_status
-from rudderpass.demo import World
+from rudderpass.demo import DemoDeployment
 from rudderpass.standins import EngineSpeed, StandInEngine
 
 _MICRO = 1e6
@@ -42,12 +42,15 @@
 def standin_platform(directory: Path, info: Path) -> None:
     """Run a log service and a host list until a signal; publish DIRECTORY."""
     quiet_libraries()
-    world = World(directory, nodes=0, seed=0, own_upstreams=False)
-    world.start()
-    addresses = {"log_service": world.log.address, "host_list": world.hosts.address}
+    deployment = DemoDeployment(directory, nodes=0, seed=0, start_standins=False)
+    deployment.start()
+    addresses = {
+        "log_service": deployment.log.address,
+        "host_list": deployment.host_list.address,
+    }
     info.write_text(json.dumps(addresses))
     _wait_for_signal()
-    world.close()
+    deployment.close()
 
 
 @click.command("standin-engine")
--- a/src/rudderpass/cli/_demo.py
+++ b/src/rudderpass/cli/_demo.py
@@ -10,7 +10,7 @@
 import click
 
 from rudderpass.cli._base import json_option, print_json, quiet_libraries
-from rudderpass.demo import DemoOptions, World, render, run_demo, token_of
+from rudderpass.demo import DemoDeployment, DemoOptions, demo_token, render, run_demo
 from rudderpass.errors import PromiseBroken, SettingsError
 from rudderpass.observe import LogFile
 from rudderpass.replay import read_trace
@@ -89,8 +89,8 @@
 
 
 def _serve(directory: Path) -> None:
-    world = World(directory, _SERVE_NODES, _SEED)
-    world.start()
+    deployment = DemoDeployment(directory, _SERVE_NODES, _SEED)
+    deployment.start()
     stop = threading.Event()
 
     def on_signal(number: int, frame: FrameType | None) -> None:
@@ -99,26 +99,26 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_signal)
     try:
-        _print_addresses(world)
+        _print_addresses(deployment)
         stop.wait()
     finally:
-        world.close()
+        deployment.close()
 
 
-def _print_addresses(world: World) -> None:
-    team = next(iter(world.catalog.teams))
-    model = world.catalog.models[0]
-    address = world.nodes[0].address
-    for node in world.nodes:
+def _print_addresses(deployment: DemoDeployment) -> None:
+    team = next(iter(deployment.catalog.teams))
+    model = deployment.catalog.models[0]
+    address = deployment.nodes[0].address
+    for node in deployment.nodes:
         click.echo(f"base URL  http://{node.address}/v1  admin {node.admin_address}")
-    click.echo(f"token     {token_of(team)} (team {team})")
-    click.echo(f"models    {', '.join(world.catalog.models)}")
+    click.echo(f"token     {demo_token(team)} (team {team})")
+    click.echo(f"models    {', '.join(deployment.catalog.models)}")
     body = (
         f'{{"model": "{model}", "stream": true, '
         '"messages": [{"role": "user", "content": "hello"}]}'
     )
     click.echo(
         f"curl -N http://{address}/v1/chat/completions "
-        f"-H 'Authorization: Bearer {token_of(team)}' "
+        f"-H 'Authorization: Bearer {demo_token(team)}' "
         f"-H 'Content-Type: application/json' -d '{body}'"
     )
--- a/src/rudderpass/demo/__init__.py
+++ b/src/rudderpass/demo/__init__.py
@@ -1,9 +1,9 @@
-"""The demo: a whole small deployment in one process, checked answer by answer."""
+"""The demo: a small deployment in one process, with every answer checked."""
 
 from rudderpass.demo._deployment import (
-    World as World,
+    DemoDeployment as DemoDeployment,
+    demo_token as demo_token,
     free_address as free_address,
-    token_of as token_of,
 )
 from rudderpass.demo._report import DemoResult as DemoResult, render as render
 from rudderpass.demo._run import DemoOptions as DemoOptions, run_demo as run_demo
--- a/src/rudderpass/demo/_caller.py
+++ b/src/rudderpass/demo/_caller.py
@@ -1,4 +1,4 @@
-"""A caller of the demo: sends one request and keeps all it needs to check it."""
+"""The demo's client: sends one request and records what the checks need."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import time
 from dataclasses import dataclass, field
 
-from rudderpass.demo._deployment import token_of
+from rudderpass.demo._deployment import demo_token
 from rudderpass.gateway import (
     CLASS_HEADER,
     KEY_HEADER,
@@ -16,22 +16,24 @@
     REQUEST_ID_HEADER,
 )
 from rudderpass.replay import Arrival
-from rudderpass.standins import booking_of, mark_prompt, plan_answer
+from rudderpass.standins import booking_number, mark_prompt, plan_answer
 from rudderpass.streams import Outcome
 
-_TIMEOUT = 120.0
+_TIMEOUT_SECONDS = 120.0
 _PREFIX_REPEATS = 24
-_DATA = "data: "
-_DONE = "[DONE]"
+_DATA_PREFIX = "data: "
+_DONE_EVENT = "[DONE]"
 
 
 @dataclass
 class Answer:
-    """What one request got. Times are seconds from its sending.
+    """The answer to one request.
 
-    :param text: the answer's text, or the booking's number.
-    :param expected: what the text must be.
-    :param gaps: seconds between one token and the next.
+    :param first_token: seconds from sending the request to the first token.
+    :param duration: seconds from sending the request to the end of its answer.
+    :param text: the answer's text, or the booking number.
+    :param expected: the correct text.
+    :param gaps: seconds between consecutive tokens.
     """
 
     arrival: Arrival
@@ -46,24 +48,24 @@
     booking: str = ""
     tokens: int = 0
     first_token: float = 0.0
-    whole: float = 0.0
+    duration: float = 0.0
     gaps: list[float] = field(default_factory=list)
     error: str = ""
 
     @property
     def completed(self) -> bool:
-        """Whether the caller was told that its request completed."""
+        """Whether the reported outcome is that the request completed."""
         return self.outcome is Outcome.COMPLETED
 
 
 def send(arrival: Arrival, node: int, address: str) -> Answer:
-    """Send one request and read its answer to the end."""
+    """Send one request and read the complete answer."""
     answer = Answer(arrival, node, time.monotonic())
-    body = _body_of(arrival)
-    _expect(answer, arrival, body)
-    connection = http.client.HTTPConnection(address, timeout=_TIMEOUT)
+    body = _build_body(arrival)
+    _set_expected(answer, arrival, body)
+    connection = http.client.HTTPConnection(address, timeout=_TIMEOUT_SECONDS)
     try:
-        connection.request("POST", arrival.path, body, _headers_of(arrival))
+        connection.request("POST", arrival.path, body, _build_headers(arrival))
         response = connection.getresponse()
         answer.status = response.status
         answer.request_id = response.getheader(REQUEST_ID_HEADER, "")
@@ -71,34 +73,34 @@
     except (OSError, http.client.HTTPException, ValueError) as error:
         answer.error = f"{type(error).__name__}: {error}"
     finally:
-        answer.whole = time.monotonic() - answer.sent_at
+        answer.duration = time.monotonic() - answer.sent_at
         connection.close()
     return answer
 
 
-def _prompt_of(arrival: Arrival) -> str:
+def _build_prompt(arrival: Arrival) -> str:
     text = f"{arrival.prefix} " * _PREFIX_REPEATS + "x" * arrival.prompt_tokens
     return mark_prompt(text, arrival.id, arrival.output_tokens)
 
 
-def _body_of(arrival: Arrival) -> bytes:
+def _build_body(arrival: Arrival) -> bytes:
     if arrival.model is None:
         return json.dumps({"id": arrival.id, "item": "moving head"}).encode()
-    messages = [{"role": "user", "content": _prompt_of(arrival)}]
+    messages = [{"role": "user", "content": _build_prompt(arrival)}]
     value = {"model": arrival.model, "messages": messages, "stream": arrival.stream}
     return json.dumps(value).encode()
 
 
-def _expect(answer: Answer, arrival: Arrival, body: bytes) -> None:
+def _set_expected(answer: Answer, arrival: Arrival, body: bytes) -> None:
     if arrival.model is None:
-        answer.booking = answer.expected = booking_of(body)
+        answer.booking = answer.expected = booking_number(body)
         return
-    answer.expected = plan_answer(_prompt_of(arrival)).text()
+    answer.expected = plan_answer(_build_prompt(arrival)).text()
 
 
-def _headers_of(arrival: Arrival) -> dict[str, str]:
+def _build_headers(arrival: Arrival) -> dict[str, str]:
     headers = {
-        "Authorization": f"Bearer {token_of(arrival.team)}",
+        "Authorization": f"Bearer {demo_token(arrival.team)}",
         "Content-Type": "application/json",
         CLASS_HEADER: arrival.service_class,
     }
@@ -128,18 +130,18 @@
 
 
 def _read_stream(answer: Answer, response: http.client.HTTPResponse) -> None:
-    pieces: list[str] = []
+    contents: list[str] = []
     last = 0.0
     saw_done = False
     for raw in response:
         line = raw.decode().rstrip("\n")
         if line.startswith(": outcome="):
-            word = line.removeprefix(": outcome=").split(" ")[0]
-            answer.outcome = Outcome(word)
-        if not line.startswith(_DATA):
+            outcome = line.removeprefix(": outcome=").split(" ")[0]
+            answer.outcome = Outcome(outcome)
+        if not line.startswith(_DATA_PREFIX):
             continue
-        payload = line.removeprefix(_DATA)
-        if payload == _DONE:
+        payload = line.removeprefix(_DATA_PREFIX)
+        if payload == _DONE_EVENT:
             saw_done = True
             continue
         now = time.monotonic()
@@ -147,13 +149,13 @@
         if "error" in value:
             answer.reason = str(value["error"].get("message", ""))
             continue
-        pieces.append(str(value["choices"][0]["delta"]["content"]))
+        contents.append(str(value["choices"][0]["delta"]["content"]))
         if answer.tokens == 0:
             answer.first_token = now - answer.sent_at
         else:
             answer.gaps.append(now - last)
         answer.tokens += 1
         last = now
-    answer.text = "".join(pieces)
+    answer.text = "".join(contents)
     if not saw_done and not answer.reason:
-        answer.error = "the stream ended without its end marker"
+        answer.error = "stream ended without a [DONE] event"
--- a/src/rudderpass/demo/_deployment.py
+++ b/src/rudderpass/demo/_deployment.py
@@ -1,4 +1,4 @@
-"""Everything the demo runs: platform, upstreams and nodes, in one process."""
+"""The demo's deployment: platform, upstreams and nodes in one process."""
 
 from __future__ import annotations
 
@@ -37,69 +37,72 @@
 )
 from rudderpass.webserver import ServerLimits
 
-_NEW_GAP = 0.016
-_OLD_GAP = 0.026
-_READY_SECONDS = 20.0
-_SECRET = b"demo-secret-that-nobody-else-has"
+_NEW_GENERATION_GAP_SECONDS = 0.016
+_OLD_GENERATION_GAP_SECONDS = 0.026
+_READY_TIMEOUT_SECONDS = 20.0
+_PEER_SECRET = b"demo-secret-that-nobody-else-has"
 _NODE_THREADS = 256
 
 
-def token_of(team: str) -> str:
-    """Return the token that the examples declare for a team."""
+def demo_token(team: str) -> str:
+    """Return the API token that the examples declare for a team."""
     return f"demo-token-{team}"
 
 
 def free_address() -> str:
-    """Return an address on the loopback interface that nobody listens on."""
+    """Return an unused address on the loopback interface."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-class World:
+class DemoDeployment:
     """The stand-ins and nodes of one demo.
 
     :param directory: the declarations to publish.
-    :param nodes: how many nodes to start.
-    :param seed: for all that is chosen at random.
-    :param own_upstreams: start stand-ins for the upstreams; otherwise they are
-        reached where they are declared.
+    :param nodes: number of nodes to start.
+    :param seed: seed of all random choices.
+    :param start_standins: start stand-ins for the upstreams; otherwise the
+        declared addresses are used.
 
     .. versionadded:: 0.1
     """
 
     def __init__(
-        self, directory: Path, nodes: int, seed: int, own_upstreams: bool = True
+        self, directory: Path, nodes: int, seed: int, start_standins: bool = True
     ) -> None:
         self.rng = random.Random(seed)
         self.log = StandInLog()
-        self.hosts = StandInHostList(lag=0.5)
-        self.weights = StandInWeightStore()
+        self.host_list = StandInHostList(lag=0.5)
+        self.weight_store = StandInWeightStore()
         self.engines: dict[UpstreamId, StandInEngine] = {}
-        self.crashed: list[StandInEngine] = []
+        self.crashed_engines: list[StandInEngine] = []
         self.desks: dict[UpstreamId, StandInDesk] = {}
         self.nodes: list[Node] = []
         self.stopped: set[int] = set()
-        self._count = nodes
-        self._own_upstreams = own_upstreams
-        self._declared = _load(directory)
+        self._node_count = nodes
+        self._start_standins = start_standins
+        self._declared = _load_catalog(directory)
         self.catalog = Catalog()
 
     def start(self) -> None:
         """Start everything and wait until all nodes are ready."""
-        for platform in (self.log, self.hosts, self.weights):
-            platform.start()
-        if self._own_upstreams:
+        for service in (self.log, self.host_list, self.weight_store):
+            service.start()
+        if self._start_standins:
             self._start_upstreams()
         else:
             self.catalog = self._declared
         self.apply(self.catalog, "demo")
         zones = sorted({spec.availability_zone for spec in self._upstreams().values()})
-        for number in range(self._count):
+        for number in range(self._node_count):
             self._start_node(zones[number % len(zones)])
         for node in self.nodes:
-            if not node.wait_ready(_READY_SECONDS):
-                raise RudderpassError("a node did not become ready", step="demo")
+            if not node.wait_ready(_READY_TIMEOUT_SECONDS):
+                raise RudderpassError(
+                    f"a node did not become ready within {_READY_TIMEOUT_SECONDS:g} s",
+                    step="demo",
+                )
 
     def close(self) -> None:
         """Stop everything."""
@@ -110,15 +113,15 @@
             engine.close()
         for desk in self.desks.values():
             desk.close()
-        for platform in (self.log, self.hosts, self.weights):
-            platform.close()
+        for service in (self.log, self.host_list, self.weight_store):
+            service.close()
 
     def apply(
         self, catalog: Catalog, author: str, base: ConfigState | None = None
     ) -> Applied:
         """Publish a catalog.
 
-        :raises DeclarationError: when it is refused.
+        :raises DeclarationError: if the catalog is refused.
         """
         publisher = Publisher(HttpLogService(self.log.address))
         result = publisher.apply(catalog, author, base)
@@ -131,7 +134,7 @@
         return Publisher(HttpLogService(self.log.address)).history().state
 
     def choose_node(self) -> int:
-        """Choose a ready node, as the platform's balancer would."""
+        """Choose a ready node, as the platform's load balancer does."""
         ready = [
             number
             for number, node in enumerate(self.nodes)
@@ -141,30 +144,30 @@
 
     @property
     def all_engines(self) -> list[StandInEngine]:
-        """Engines that run, and those that crashed before."""
-        return [*self.engines.values(), *self.crashed]
+        """Current engines, and those replaced after a crash."""
+        return [*self.engines.values(), *self.crashed_engines]
 
     def crash_engine(self, name: UpstreamId) -> None:
-        """Cut all that an engine runs and refuse connections to it."""
+        """Abort all requests of an engine and refuse connections to it."""
         self.engines[name].close()
 
     def restart_engine(self, name: UpstreamId) -> None:
-        """Start an engine again where it was, with an empty cache."""
+        """Restart an engine at the same address, with an empty cache."""
         old = self.engines[name]
-        self.crashed.append(old)
+        self.crashed_engines.append(old)
         engine = self.engines[name] = StandInEngine(old.speed, old.address)
         engine.start()
 
     def pause_node(self, number: int, seconds: float) -> None:
-        """Hold a node's decisions, as a frozen process would."""
+        """Block a node's decisions, as if its process were suspended."""
 
-        def hold(core: NodeCore) -> None:
+        def block(core: NodeCore) -> None:
             time.sleep(seconds)
 
-        self.nodes[number].runtime.locked(hold)
+        self.nodes[number].runtime.locked(block)
 
     def stop_node(self, number: int) -> threading.Thread:
-        """Begin a planned stop of one node."""
+        """Start a planned stop of one node."""
         node = self.nodes[number]
         thread = threading.Thread(target=node.stop, name="stop-node", daemon=True)
         thread.start()
@@ -190,10 +193,13 @@
             desk.start()
             return desk.address
         is_new = spec.labels.get("generation") == "new"
-        speed = EngineSpeed(_NEW_GAP if is_new else _OLD_GAP, spec.slots)
+        speed = EngineSpeed(
+            _NEW_GENERATION_GAP_SECONDS if is_new else _OLD_GENERATION_GAP_SECONDS,
+            spec.slots,
+        )
         engine = self.engines[name] = StandInEngine(speed)
         engine.start()
-        self.hosts.set_upstream(engine.address, HostState.LIVE)
+        self.host_list.set_upstream(engine.address, HostState.LIVE)
         return engine.address
 
     def _start_node(self, zone: str) -> None:
@@ -203,8 +209,8 @@
             peer="127.0.0.1:0",
             zone=zone,
             log_service=self.log.address,
-            host_list=self.hosts.address,
-            keys=FixedKeys(PeerKeys((_SECRET,))),
+            host_list=self.host_list.address,
+            keys=FixedKeys(PeerKeys((_PEER_SECRET,))),
             limits=ServerLimits(threads=_NODE_THREADS),
             upstream_timeout=15.0,
             stop_seconds=30.0,
@@ -213,10 +219,10 @@
         node.start()
         self.nodes.append(node)
         record = HostRecord(node.runtime.core.node, AvailabilityZone(zone))
-        self.hosts.set_node(record)
+        self.host_list.set_node(record)
 
 
-def _load(directory: Path) -> Catalog:
+def _load_catalog(directory: Path) -> Catalog:
     loaded = load_declarations(directory)
     if isinstance(loaded, Failure):
         text = "; ".join(finding.show() for finding in loaded.failure())
--- a/src/rudderpass/demo/_report.py
+++ b/src/rudderpass/demo/_report.py
@@ -1,4 +1,4 @@
-"""The demo's result: a row for each class, and the promises."""
+"""The demo's result: metrics of each class, and the checked promises."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True)
 class ClassRow:
-    """One class's figures.
+    """One class's metrics.
 
     :param attainment: share of all its requests that met every target.
-    :param goodput: tokens a second of answers that met every target.
-    :param not_run: requests that were told so, shed ones among them.
+    :param goodput: tokens per second of answers that met every target.
+    :param not_run: requests reported as not run, including shed ones.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class DemoResult:
-    """The whole result of a demo."""
+    """The complete result of a demo."""
 
     profile: str
     seconds: float
@@ -47,23 +47,23 @@
 
     @property
     def kept(self) -> bool:
-        """Whether every promise held."""
+        """Whether no promise was broken."""
         return not any(promise.broken for promise in self.promises)
 
     def as_json(self) -> dict[str, object]:
-        """Return the result for a script."""
+        """Return the result as JSON-serializable values."""
         return {**asdict(self), "kept": self.kept}
 
 
 def build_rows(
     catalog: Catalog, answers: Sequence[Answer], seconds: float
 ) -> tuple[ClassRow, ...]:
-    """Return a row for each class that had requests, highest tier first."""
+    """Return a row for each class that had requests, most urgent tier first."""
     rows = []
     for name, spec in catalog.classes.items():
-        of_class = [item for item in answers if item.arrival.service_class == name]
-        if of_class:
-            rows.append(_build_row(name, spec, of_class, seconds))
+        class_answers = [item for item in answers if item.arrival.service_class == name]
+        if class_answers:
+            rows.append(_build_row(name, spec, class_answers, seconds))
     return tuple(sorted(rows, key=lambda row: (row.tier, row.name)))
 
 
@@ -73,7 +73,7 @@
     answers: Sequence[Answer],
     seconds: float,
 ) -> ClassRow:
-    attained = [answer for answer in answers if has_attained(spec, answer)]
+    on_target = [answer for answer in answers if met_targets(spec, answer)]
     first_tokens = sorted(item.first_token for item in answers if item.first_token)
     p95 = first_tokens[int(0.95 * (len(first_tokens) - 1))] if first_tokens else 0.0
     return ClassRow(
@@ -81,8 +81,8 @@
         tier=spec.tier,
         requests=len(answers),
         completed=sum(answer.completed for answer in answers),
-        attainment=len(attained) / len(answers),
-        goodput=sum(answer.tokens for answer in attained) / seconds,
+        attainment=len(on_target) / len(answers),
+        goodput=sum(answer.tokens for answer in on_target) / seconds,
         first_token_p95=p95,
         shed=sum("overload" in answer.reason for answer in answers),
         not_run=sum(answer.outcome is Outcome.NOT_RUN for answer in answers),
@@ -90,12 +90,12 @@
     )
 
 
-def has_attained(spec: ServiceClassSpec, answer: Answer) -> bool:
-    """Tell whether an answer met every target of its class."""
+def met_targets(spec: ServiceClassSpec, answer: Answer) -> bool:
+    """Return whether an answer met every target of its class."""
     if not answer.completed:
         return False
     targets = spec.targets
-    first_token = answer.first_token or answer.whole
+    first_token = answer.first_token or answer.duration
     if targets.first_token_seconds is not None:
         if first_token > targets.first_token_seconds:
             return False
@@ -103,7 +103,7 @@
         if sum(answer.gaps) / len(answer.gaps) > targets.between_tokens_seconds:
             return False
     if targets.whole_answer_seconds is not None:
-        return answer.whole <= targets.whole_answer_seconds
+        return answer.duration <= targets.whole_answer_seconds
     return True
 
 
@@ -122,7 +122,7 @@
     share = result.wasted_tokens / max(1, result.engine_tokens)
     lines += [
         "",
-        f"goodput is in tokens a second; wasted work: {result.wasted_tokens} of "
+        f"goodput is in tokens per second; wasted work: {result.wasted_tokens} of "
         f"{result.engine_tokens} tokens ({share:.2%})",
         f"faults caused: {result.faults}",
         "",
@@ -130,5 +130,5 @@
     ]
     for promise in result.promises:
         lines.append(f"{promise.name:<64}{promise.tested:>8}{len(promise.broken):>8}")
-        lines += [f"    broken: {what}" for what in promise.broken[:5]]
+        lines += [f"    broken: {detail}" for detail in promise.broken[:5]]
     return "\n".join(lines)
--- a/src/rudderpass/replay/__init__.py
+++ b/src/rudderpass/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Replay: recorded traces through the real decisions in virtual time."""
+"""Simulation of recorded traces in virtual time, with the real scheduling code."""
 
 from rudderpass.replay._cluster import (
     Cluster as Cluster,
--- a/src/rudderpass/replay/_compare.py
+++ b/src/rudderpass/replay/_compare.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Spread:
-    """A figure over several seeds."""
+    """Minimum, median and maximum of a metric over several seeds."""
 
     low: float
     median: float
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class PolicyRow:
-    """One policy's figures over all seeds."""
+    """One policy's metrics over all seeds."""
 
     policy: Policy
     attainment: dict[str, Spread]
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """What to compare."""
+    """The traces on which policies are compared."""
 
     kind: TraceKind
     nodes: int
@@ -68,9 +68,10 @@
 def _summarize(policy: Policy, results: Sequence[ReplayResult]) -> PolicyRow:
     names = [row.name for row in results[0].rows]
 
-    def by_class(read: Callable[[ReplayResult, str], float]) -> dict[str, Spread]:
+    def by_class(metric_of: Callable[[ReplayResult, str], float]) -> dict[str, Spread]:
         return {
-            name: _spread([read(result, name) for result in results]) for name in names
+            name: _spread([metric_of(result, name) for result in results])
+            for name in names
         }
 
     return PolicyRow(
--- a/src/rudderpass/replay/_engine.py
+++ b/src/rudderpass/replay/_engine.py
@@ -1,4 +1,4 @@
-"""A fake engine in virtual time: a batch that slows down as it fills."""
+"""A simulated engine in virtual time; token generation slows as the batch fills."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 import simpy
 
 _PREFILL_SECONDS_PER_TOKEN = 0.0004
-_CACHED_SHARE = 0.8
-_PREFIXES_KEPT = 48
-_FULL_SLOWDOWN = 0.5
+_CACHED_PREFILL_SHARE = 0.8
+_PREFIX_CACHE_SIZE = 48
+_FULL_BATCH_SLOWDOWN = 0.5
 _EPSILON = 1e-9
 
 
-class WorkEnd(Enum):
-    """How work on an engine ended."""
+class WorkResult(Enum):
+    """The result of work on an engine."""
 
     DONE = "done"
     CRASHED = "crashed"
@@ -30,43 +30,43 @@
 class EngineWork:
     """One attempt at one request on one engine.
 
-    :param tokens: tokens still to produce.
-    :param on_first: called when the first token is there.
-    :param on_end: called once, with how it ended.
+    :param tokens: number of tokens to produce.
+    :param on_first_token: called when the first token is produced.
+    :param on_end: called once, with the result.
     """
 
     tokens: int
     prompt_tokens: int
     prefix: str
     priority: int
-    on_first: Callable[[], None]
-    on_end: Callable[[WorkEnd], None]
+    on_first_token: Callable[[], None]
+    on_end: Callable[[WorkResult], None]
     produced: float = 0.0
-    saw_first: bool = False
+    has_first_token: bool = False
     ended: bool = False
 
 
 @dataclass
 class EngineTotals:
-    """What an engine did."""
+    """Totals over an engine's lifetime."""
 
     tokens: float = 0.0
     wasted: float = 0.0
-    busiest: int = 0
+    peak_running: int = 0
     starts: int = 0
 
 
 @dataclass
-class _Loads:
-    """Load reports, which show late."""
+class _LoadHistory:
+    """Timestamped load samples, from which delayed reports are read."""
 
     samples: list[tuple[float, int]] = field(default_factory=list)
 
 
-class FakeEngine:
-    """Runs up to ``slots`` pieces of work; the rest waits by priority.
+class SimulatedEngine:
+    """Runs up to ``slots`` pieces of work; the rest queues by priority.
 
-    :param env: the virtual clock.
+    :param env: the simulation environment, with the virtual clock.
     :param gap: seconds between tokens when it runs one request.
 
     .. versionadded:: 0.1
@@ -82,53 +82,53 @@
         self._prefilling: set[EngineWork] = set()
         self._decoding: dict[EngineWork, None] = {}
         self._order = itertools.count()
-        self._advanced = 0.0
-        self._plan = 0
+        self._advanced_at = 0.0
+        self._schedule_version = 0
         self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._loads = _Loads()
+        self._load_history = _LoadHistory()
         self.totals = EngineTotals()
 
     @property
     def is_up(self) -> bool:
-        """Whether the engine takes work."""
+        """Whether the engine accepts work."""
         return self._up
 
     @property
     def load(self) -> int:
-        """Work that runs or waits inside the engine."""
+        """Number of requests running or queued in the engine."""
         return len(self._waiting) + len(self._prefilling) + len(self._decoding)
 
     def reported_load(self, lag: float) -> int:
         """Return the load as it was reported ``lag`` seconds ago."""
-        samples = self._loads.samples
-        wanted = self._env.now - lag
-        while len(samples) > 1 and samples[1][0] <= wanted:
+        samples = self._load_history.samples
+        reported_at = self._env.now - lag
+        while len(samples) > 1 and samples[1][0] <= reported_at:
             samples.pop(0)
-        if not samples or samples[0][0] > wanted:
+        if not samples or samples[0][0] > reported_at:
             return 0
         return samples[0][1]
 
     def sample_load(self) -> None:
-        """Take a load report."""
-        self._loads.samples.append((self._env.now, self.load))
+        """Record a load sample."""
+        self._load_history.samples.append((self._env.now, self.load))
 
     def start(self, work: EngineWork) -> None:
-        """Take work; the engine must be up."""
+        """Accept work; the engine must be up."""
         self.totals.starts += 1
         heapq.heappush(self._waiting, (work.priority, next(self._order), work))
-        self._fill()
+        self._fill_batch()
 
     def cancel(self, work: EngineWork) -> None:
-        """Stop work that nobody wants any more."""
+        """Cancel work whose result is no longer needed."""
         if work.ended:
             return
         self._advance()
-        self._finish(work, WorkEnd.CANCELLED)
-        self._fill()
-        self._replan()
+        self._finish(work, WorkResult.CANCELLED)
+        self._fill_batch()
+        self._schedule_completion()
 
-    def tokens_of(self, work: EngineWork) -> int:
-        """Return how many tokens work has brought so far."""
+    def produced_tokens(self, work: EngineWork) -> int:
+        """Return the number of tokens produced so far."""
         self._advance()
         return int(work.produced)
 
@@ -136,30 +136,30 @@
         """Run ``factor`` times slower from now on."""
         self._advance()
         self._slowdown = factor
-        self._replan()
+        self._schedule_completion()
 
     def crash(self) -> None:
-        """Lose all work and refuse more."""
+        """Abort all work and refuse new work."""
         self._advance()
         self._up = False
         self._prefixes.clear()
-        lost = [work for _, _, work in self._waiting]
-        lost += [*self._prefilling, *self._decoding]
-        for work in lost:
-            self._finish(work, WorkEnd.CRASHED)
+        aborted = [work for _, _, work in self._waiting]
+        aborted += [*self._prefilling, *self._decoding]
+        for work in aborted:
+            self._finish(work, WorkResult.CRASHED)
 
     def restart(self) -> None:
-        """Take work again, with an empty cache."""
+        """Accept work again, with an empty prefix cache."""
         self._up = True
 
-    def _fill(self) -> None:
+    def _fill_batch(self) -> None:
         while self._waiting and self._running() < self._slots:
             _, _, work = heapq.heappop(self._waiting)
             if work.ended:
                 continue
             self._prefilling.add(work)
             self._env.process(self._prefill(work))
-        self.totals.busiest = max(self.totals.busiest, self._running())
+        self.totals.peak_running = max(self.totals.peak_running, self._running())
 
     def _running(self) -> int:
         return len(self._prefilling) + len(self._decoding)
@@ -167,11 +167,11 @@
     def _prefill(self, work: EngineWork) -> simpy.events.ProcessGenerator:
         seconds = work.prompt_tokens * _PREFILL_SECONDS_PER_TOKEN
         if work.prefix and work.prefix in self._prefixes:
-            seconds *= 1 - _CACHED_SHARE
+            seconds *= 1 - _CACHED_PREFILL_SHARE
         if work.prefix:
             self._prefixes[work.prefix] = None
             self._prefixes.move_to_end(work.prefix)
-            if len(self._prefixes) > _PREFIXES_KEPT:
+            if len(self._prefixes) > _PREFIX_CACHE_SIZE:
                 self._prefixes.popitem(last=False)
         yield self._env.timeout((seconds + self._gap) * self._slowdown)
         if work.ended:
@@ -179,41 +179,41 @@
         self._advance()
         self._prefilling.discard(work)
         self._decoding[work] = None
-        work.saw_first = True
+        work.has_first_token = True
         work.produced = 1.0
         self.totals.tokens += 1
-        work.on_first()
-        self._replan()
+        work.on_first_token()
+        self._schedule_completion()
 
     def _token_seconds(self) -> float:
         load = self._running() / self._slots
-        return self._gap * self._slowdown * (1 + _FULL_SLOWDOWN * load)
+        return self._gap * self._slowdown * (1 + _FULL_BATCH_SLOWDOWN * load)
 
     def _advance(self) -> None:
-        """Credit the tokens made since the last change."""
-        elapsed = self._env.now - self._advanced
-        self._advanced = self._env.now
+        """Account for the tokens produced since the last update."""
+        elapsed = self._env.now - self._advanced_at
+        self._advanced_at = self._env.now
         if not self._decoding or elapsed <= 0:
             return
-        made = elapsed / self._token_seconds()
+        generated = elapsed / self._token_seconds()
         for work in self._decoding:
-            grown = min(made, work.tokens - work.produced)
-            work.produced += grown
-            self.totals.tokens += grown
+            added = min(generated, work.tokens - work.produced)
+            work.produced += added
+            self.totals.tokens += added
 
-    def _replan(self) -> None:
-        self._plan += 1
+    def _schedule_completion(self) -> None:
+        self._schedule_version += 1
         if not self._decoding:
             return
         shortest = min(work.tokens - work.produced for work in self._decoding)
         seconds = max(0.0, shortest) * self._token_seconds()
-        self._env.process(self._complete_after(seconds, self._plan))
+        self._env.process(self._complete_after(seconds, self._schedule_version))
 
     def _complete_after(
-        self, seconds: float, plan: int
+        self, seconds: float, version: int
     ) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(seconds)
-        if plan != self._plan:
+        if version != self._schedule_version:
             return
         self._advance()
         done = [
@@ -222,14 +222,14 @@
             if work.tokens - work.produced <= _EPSILON * work.tokens + 1e-6
         ]
         for work in done:
-            self._finish(work, WorkEnd.DONE)
-        self._fill()
-        self._replan()
+            self._finish(work, WorkResult.DONE)
+        self._fill_batch()
+        self._schedule_completion()
 
-    def _finish(self, work: EngineWork, end: WorkEnd) -> None:
+    def _finish(self, work: EngineWork, result: WorkResult) -> None:
         if work.ended:
             return
         work.ended = True
         self._prefilling.discard(work)
         self._decoding.pop(work, None)
-        work.on_end(end)
+        work.on_end(result)
--- a/src/rudderpass/replay/_entities.py
+++ b/src/rudderpass/replay/_entities.py
@@ -1,4 +1,4 @@
-"""What the parts of a replay share: callers and nodes in virtual time."""
+"""Simulated callers and nodes, and the cluster interface that the replay shares."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from rudderpass._ids import AvailabilityZone, ClassName, RequestId, UpstreamId
 from rudderpass.core import Admitted, CoreAction
 from rudderpass.declarations import Catalog
-from rudderpass.replay._engine import EngineWork, FakeEngine
+from rudderpass.replay._engine import EngineWork, SimulatedEngine
 from rudderpass.replay._policies import Scheduler
 from rudderpass.replay._trace import Arrival
 from rudderpass.streams import AttemptState, Outcome, RetryBudget
 
-_NEW_GAP = 0.015
-_OLD_GAP = 0.030
+_NEW_GENERATION_GAP_SECONDS = 0.015
+_OLD_GENERATION_GAP_SECONDS = 0.030
 
 
 @dataclass(eq=False)
 class Caller:
-    """One request of the trace on its way. Times are virtual seconds."""
+    """One request of the trace and its state. Times are virtual seconds."""
 
     arrival: Arrival
     node: int
@@ -37,28 +37,28 @@
     excluded: tuple[UpstreamId, ...] = ()
     starts: int = 0
     work: EngineWork | None = None
-    engine: FakeEngine | None = None
-    attempt_began: float = 0.0
-    attempt_first: float = 0.0
+    engine: SimulatedEngine | None = None
+    attempt_started_at: float = 0.0
+    attempt_first_token_seconds: float = 0.0
 
     def count_attempt(self) -> None:
         """Count one more attempt."""
         self.state = replace(self.state, attempts=self.state.attempts + 1)
 
     def add_produced(self, tokens: int) -> None:
-        """Count tokens that have reached the caller."""
+        """Count tokens that were delivered to the caller."""
         self.state = replace(self.state, produced=self.state.produced + tokens)
 
-    def answer(self, outcome: Outcome, reason: str, now: float) -> None:
-        """Give the caller its final answer."""
+    def finish(self, outcome: Outcome, reason: str, now: float) -> None:
+        """Record the caller's final outcome."""
         self.outcome = outcome
         self.reason = reason
         self.ended_at = now
 
 
 @dataclass(eq=False)
-class VirtualNode:
-    """One node of the replay."""
+class SimulatedNode:
+    """One node of the simulated cluster."""
 
     number: int
     scheduler: Scheduler
@@ -67,43 +67,49 @@
     paused_until: float = 0.0
     pending: list[Callable[[], None]] = field(default_factory=list)
     callers: dict[RequestId, Caller] = field(default_factory=dict)
-    budgets: dict[ClassName, RetryBudget] = field(default_factory=dict)
+    retry_budgets: dict[ClassName, RetryBudget] = field(default_factory=dict)
     messages: int = 0
 
-    def budget_of(self, name: ClassName) -> RetryBudget:
+    def retry_budget(self, name: ClassName) -> RetryBudget:
         """Return the node's retry budget of a class."""
-        return self.budgets.setdefault(name, RetryBudget())
+        return self.retry_budgets.setdefault(name, RetryBudget())
 
 
-class Ground(Protocol):
-    """What callers and faults need of the cluster that they stand on."""
+class ClusterContext(Protocol):
+    """The part of the cluster that attempts and faults use."""
 
     env: simpy.Environment
     catalog: Catalog
-    engines: dict[UpstreamId, FakeEngine]
-    nodes: list[VirtualNode]
-    cut_zones: set[AvailabilityZone]
+    engines: dict[UpstreamId, SimulatedEngine]
+    nodes: list[SimulatedNode]
+    partitioned_zones: set[AvailabilityZone]
     report_lag: float
 
-    def on_node(self, node: VirtualNode, event: Callable[[], list[CoreAction]]) -> None:
-        """Run an event on a node, later if it is paused, never if it is down."""
+    def run_on_node(
+        self, node: SimulatedNode, event: Callable[[], list[CoreAction]]
+    ) -> None:
+        """Run an event on a node: delayed if it is paused, dropped if it is down."""
 
-    def submit(self, node: VirtualNode, caller: Caller) -> None:
-        """Submit a caller's next attempt at a node."""
+    def submit(self, node: SimulatedNode, caller: Caller) -> None:
+        """Submit a caller's next attempt to a node."""
 
     def reconnect(self, caller: Caller) -> None:
-        """Let a caller that lost its node ask again through another."""
+        """Retry through another node for a caller whose node crashed."""
 
-    def restart(self, node: VirtualNode) -> None:
-        """Start a node that was down, with no memory."""
+    def restart(self, node: SimulatedNode) -> None:
+        """Restart a crashed node with empty state."""
 
-    def is_zone_cut(self, node: VirtualNode, zone: AvailabilityZone) -> bool:
-        """Tell whether nothing passes between a node and a zone."""
+    def is_partitioned(self, node: SimulatedNode, zone: AvailabilityZone) -> bool:
+        """Return whether a network partition separates a node from a zone."""
 
 
-def gap_of(labels: dict[str, str]) -> float:
-    """Return the seconds between tokens of an engine with these labels."""
-    return _OLD_GAP if labels.get("generation") == "old" else _NEW_GAP
+def token_gap(labels: dict[str, str]) -> float:
+    """Return the seconds between tokens of an idle engine with these labels."""
+    return (
+        _OLD_GENERATION_GAP_SECONDS
+        if labels.get("generation") == "old"
+        else _NEW_GENERATION_GAP_SECONDS
+    )
 
 
 def hash_prefix(prefix: str) -> int:
--- a/src/rudderpass/replay/_generate.py
+++ b/src/rudderpass/replay/_generate.py
@@ -1,4 +1,4 @@
-"""Make seeded traces, sized by what a catalog's engines can serve."""
+"""Generate seeded traces, scaled to the capacity of a catalog's engines."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from rudderpass._ids import ClassName, PoolId
 from rudderpass.declarations import Catalog, RouteSpec
-from rudderpass.replay._entities import gap_of
+from rudderpass.replay._entities import token_gap
 from rudderpass.replay._trace import Arrival, Fault, TraceLine
 
-_BATCH_SLOWDOWN = 1.5
-_MEAN_TOKENS = 60.0
-_LONGEST = 600
-_PREFIXES = 12
+_FULL_BATCH_FACTOR = 1.5
+_MEAN_OUTPUT_TOKENS = 60.0
+_MAX_OUTPUT_TOKENS = 600
+_PREFIXES_PER_MODEL = 12
 _BOOKINGS_PER_SECOND = 2.0
-_TOP_SHARE = 0.3
-_HOT_NODES = 0.25
+_HIGHEST_TIER_SHARE = 0.3
+_HOT_NODE_SHARE = 0.25
 
 
 class TraceKind(Enum):
-    """The kinds of trace that can be made."""
+    """The kinds of trace that can be generated."""
 
     LOAD_IN_MORNING = "load-in-morning"
     UPLOAD_WAVE = "upload-wave"
@@ -33,29 +33,29 @@
 
 @dataclass(frozen=True)
 class TraceShape:
-    """How load runs over a trace.
+    """The load over the time of a trace.
 
-    :param seconds: its length.
-    :param base: load outside the burst, as a share of capacity.
-    :param burst: load during it.
-    :param skewed: whether most requests enter through a quarter of the nodes.
+    :param seconds: length of the trace.
+    :param base_load: load outside the burst, as a share of capacity.
+    :param burst_load: load during the burst, as a share of capacity.
+    :param skewed: whether a quarter of the nodes receive most requests.
     """
 
     seconds: float
-    base: float
-    burst: float
-    burst_from: float
-    burst_until: float
+    base_load: float
+    burst_load: float
+    burst_start: float
+    burst_end: float
     skewed: bool = False
 
     def load_at(self, at: float) -> float:
         """Return the load at a time, as a share of capacity."""
-        if self.burst_from <= at < self.burst_until:
-            return self.burst
-        return self.base
+        if self.burst_start <= at < self.burst_end:
+            return self.burst_load
+        return self.base_load
 
 
-def shape_of(kind: TraceKind, skewed: bool = False, scale: float = 1.0) -> TraceShape:
+def make_shape(kind: TraceKind, skewed: bool = False, scale: float = 1.0) -> TraceShape:
     """Return the shape of a kind of trace, its times multiplied by ``scale``."""
     shapes = {
         TraceKind.LOAD_IN_MORNING: TraceShape(90, 0.6, 2.0, 25, 55, skewed),
@@ -67,8 +67,8 @@
     return replace(
         shape,
         seconds=shape.seconds * scale,
-        burst_from=shape.burst_from * scale,
-        burst_until=shape.burst_until * scale,
+        burst_start=shape.burst_start * scale,
+        burst_end=shape.burst_end * scale,
     )
 
 
@@ -79,22 +79,22 @@
     skewed: bool = False,
     scale: float = 1.0,
 ) -> tuple[TraceLine, ...]:
-    """Return a trace; the same arguments give the same trace."""
+    """Generate a trace; the same arguments give the same trace."""
     rng = random.Random(f"{kind.value}|{seed}")
-    shape = shape_of(kind, skewed, scale)
+    shape = make_shape(kind, skewed, scale)
     lines: list[TraceLine] = []
     for route in catalog.routes.values():
         if route.models:
             lines += _model_arrivals(catalog, route, shape, rng)
         else:
-            lines += _bookings(catalog, route, shape, rng)
+            lines += _booking_arrivals(catalog, route, shape, rng)
     if kind is TraceKind.WEEK_OF_FAULTS:
         lines += _faults(catalog, scale, rng)
     lines.sort(key=lambda line: line.at)
-    return tuple(_number(lines))
+    return tuple(_assign_ids(lines))
 
 
-def _number(lines: list[TraceLine]) -> Iterator[TraceLine]:
+def _assign_ids(lines: list[TraceLine]) -> Iterator[TraceLine]:
     for number, line in enumerate(lines):
         if isinstance(line, Arrival):
             yield line.model_copy(update={"id": f"r{number:06d}"})
@@ -103,9 +103,9 @@
 
 
 def _capacity(catalog: Catalog, runner: str) -> float:
-    """Return the tokens a second that a runner's engines make when full."""
+    """Return the tokens per second of a runner's engines with full batches."""
     return sum(
-        spec.slots / (gap_of(spec.labels) * _BATCH_SLOWDOWN)
+        spec.slots / (token_gap(spec.labels) * _FULL_BATCH_FACTOR)
         for spec in catalog.pools[PoolId(runner)].values()
     )
 
@@ -118,17 +118,17 @@
     highest, others = classes[0], classes[1:] or classes
     at = 0.0
     while True:
-        rate = shape.load_at(at) * capacity / _MEAN_TOKENS
+        rate = shape.load_at(at) * capacity / _MEAN_OUTPUT_TOKENS
         at += rng.expovariate(rate)
         if at >= shape.seconds:
             return
-        is_top = rng.random() < _TOP_SHARE
-        name = highest if is_top else rng.choice(others)
+        is_highest = rng.random() < _HIGHEST_TIER_SHARE
+        name = highest if is_highest else rng.choice(others)
         yield _arrival(catalog, shape, rng, at, name, rng.choice(route.models))
 
 
 def _classes_for(catalog: Catalog, streamed: bool) -> list[ClassName]:
-    """Return classes that stream, or that do not, highest tier first."""
+    """Return the classes that stream, or those that do not, most urgent tier first."""
     found = [
         (spec.tier, name)
         for name, spec in catalog.classes.items()
@@ -149,7 +149,7 @@
     name: ClassName,
     model: str,
 ) -> Arrival:
-    tokens = int(min(_LONGEST, 1 + rng.lognormvariate(math.log(42), 0.8)))
+    tokens = int(min(_MAX_OUTPUT_TOKENS, 1 + rng.lognormvariate(math.log(42), 0.8)))
     return Arrival(
         at=round(at, 4),
         id="",
@@ -158,13 +158,13 @@
         model=model,
         prompt_tokens=rng.randint(40, 400),
         output_tokens=tokens,
-        prefix=f"{model}-{rng.randint(1, _PREFIXES)}",
+        prefix=f"{model}-{rng.randint(1, _PREFIXES_PER_MODEL)}",
         entry=_choose_entry(shape, rng),
     )
 
 
 def _choose_team(catalog: Catalog, name: ClassName, rng: random.Random) -> str:
-    """Choose a team; the first few are large."""
+    """Choose a team; the first few send most requests."""
     teams = [team for team, spec in catalog.teams.items() if name in spec.classes]
     return teams[min(int(rng.expovariate(0.5)), len(teams) - 1)]
 
@@ -173,11 +173,11 @@
     if not shape.skewed:
         return None
     if rng.random() < 0.75:
-        return rng.random() * _HOT_NODES
+        return rng.random() * _HOT_NODE_SHARE
     return rng.random()
 
 
-def _bookings(
+def _booking_arrivals(
     catalog: Catalog, route: RouteSpec, shape: TraceShape, rng: random.Random
 ) -> Iterator[Arrival]:
     names = _classes_for(catalog, streamed=False)
@@ -199,22 +199,22 @@
 
 
 def _faults(catalog: Catalog, scale: float, rng: random.Random) -> Iterator[Fault]:
-    """Yield each of the brief's faults, some of them at the same time."""
+    """Yield faults of every kind but ``log-down``, some of them overlapping."""
     engines = [name for name, spec in catalog.upstreams.items() if spec.labels]
     zones = sorted({spec.availability_zone for spec in catalog.upstreams.values()})
 
-    def fault(kind: str, at: float, seconds: float, **fields: object) -> Fault:
+    def make_fault(kind: str, at: float, seconds: float, **fields: object) -> Fault:
         times = {"at": at * scale, "until": (at + seconds) * scale}
         value = {"kind": kind, **times, **fields}
         return Fault.model_validate(value)
 
-    choose: Callable[[], str] = lambda: rng.choice(engines)
-    yield fault("engine-slow", 10, 25, target=choose(), factor=4)
-    yield fault("engine-crash", 20, 8, target=choose())
-    yield fault("node-crash", 30, 6, target=str(rng.randrange(8)))
-    yield fault("reports-lag", 40, 20, factor=6)
-    yield fault("engine-crash", 45, 10, target=choose())
-    yield fault("node-crash", 45.2, 8, target=str(rng.randrange(8)))
-    yield fault("node-pause", 70, 5, target=str(rng.randrange(8)))
-    yield fault("zone-cut", 85, 12, target=rng.choice(zones))
-    yield fault("engine-slow", 90, 20, target=choose(), factor=6)
+    choose_engine: Callable[[], str] = lambda: rng.choice(engines)
+    yield make_fault("engine-slow", 10, 25, target=choose_engine(), factor=4)
+    yield make_fault("engine-crash", 20, 8, target=choose_engine())
+    yield make_fault("node-crash", 30, 6, target=str(rng.randrange(8)))
+    yield make_fault("reports-lag", 40, 20, factor=6)
+    yield make_fault("engine-crash", 45, 10, target=choose_engine())
+    yield make_fault("node-crash", 45.2, 8, target=str(rng.randrange(8)))
+    yield make_fault("node-pause", 70, 5, target=str(rng.randrange(8)))
+    yield make_fault("zone-cut", 85, 12, target=rng.choice(zones))
+    yield make_fault("engine-slow", 90, 20, target=choose_engine(), factor=6)
--- a/src/rudderpass/replay/_policies.py
+++ b/src/rudderpass/replay/_policies.py
@@ -1,6 +1,7 @@
-"""What is compared: pool owners, and three simpler schedulers as baselines.
+"""The compared scheduling policies: pool owners and three simpler baselines.
 
-All have the methods of :class:`~rudderpass.core.NodeCore` that the replay calls.
+All schedulers have the methods of :class:`~rudderpass.core.NodeCore` that the replay
+calls.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class Policy(Enum):
-    """Which scheduler a replay runs."""
+    """The scheduler that a replay uses."""
 
     OWNERS = "owners"
     LEAST_REPORTED = "least-reported"
@@ -49,36 +50,36 @@
 
 
 @dataclass(frozen=True)
-class Place:
-    """Where a scheduler stands.
+class NodePlacement:
+    """The identity of a scheduler's node.
 
-    :param number: the node's place among ``nodes``.
-    :param incarnation: differs at each start of any node.
+    :param index: position among the ``node_count`` nodes, from 0.
+    :param incarnation: unique to each start of a node.
     """
 
     node: NodeId
     zone: AvailabilityZone
-    number: int
-    nodes: int
+    index: int
+    node_count: int
     incarnation: int
 
 
 class BaselineNode:
-    """What the baselines share: no peers, no owners, one node's own view.
+    """Base class of the baselines, which use neither peers nor pool owners.
 
-    :param reported: the late load report of an upstream.
+    :param reported_load: returns the latest, delayed load report of an upstream.
 
     .. versionadded:: 0.1
     """
 
     def __init__(
-        self, place: Place, reported: ReportedLoad, rng: random.Random
+        self, placement: NodePlacement, reported_load: ReportedLoad, rng: random.Random
     ) -> None:
-        self._node = place.node
-        self._zone = place.zone
-        self._number = place.number
-        self._nodes = place.nodes
-        self._reported = reported
+        self._node = placement.node
+        self._zone = placement.zone
+        self._index = placement.index
+        self._node_count = placement.node_count
+        self._reported_load = reported_load
         self._rng = rng
         self._catalog = Catalog()
 
@@ -89,39 +90,39 @@
 
     @property
     def catalog(self) -> Catalog:
-        """The declared objects in force here."""
+        """The node's active declarations."""
         return self._catalog
 
     def take_config(
         self, state: ConfigState, source: str, now: float
     ) -> list[CoreAction]:
-        """Put a configuration in force."""
+        """Activate a configuration."""
         self._catalog = state.catalog
         return []
 
     def take_hosts(self, hosts: Iterable[HostRecord], now: float) -> list[CoreAction]:
-        """Ignore the host list; baselines do not speak to peers."""
+        """Ignore the host list; baselines send nothing to peers."""
         return []
 
     def receive(
         self, sender: NodeId, message: PeerMessage, now: float
     ) -> list[CoreAction]:
-        """Ignore peers."""
+        """Ignore peers; baselines do not use them."""
         return []
 
     def note_unreachable(self, peer: NodeId, now: float) -> list[CoreAction]:
-        """Ignore peers."""
+        """Ignore peers; baselines do not use them."""
         return []
 
     def note_reachable(self, peer: NodeId, now: float) -> list[CoreAction]:
-        """Ignore peers."""
+        """Ignore peers; baselines do not use them."""
         return []
 
     def note_progress(self, request_id: RequestId, tokens: int) -> None:
-        """Ignore progress; baselines learn nothing."""
+        """Ignore progress; baselines make no estimates from it."""
 
     def tick(self, now: float) -> list[CoreAction]:
-        """Do what is due."""
+        """Run periodic work; baselines have none by default."""
         return []
 
     def submit(self, submission: Submission, now: float) -> list[CoreAction]:
@@ -138,15 +139,15 @@
             match.pool,
             match.repeatable,
         )
-        return [admitted, *self._place(submission, match, now)]
+        return [admitted, *self._schedule(submission, match, now)]
 
     def finish(
         self, request_id: RequestId, usage: Usage, now: float
     ) -> list[CoreAction]:
-        """Give back what a request holds."""
+        """Release what a finished request holds."""
         return []
 
-    def _place(
+    def _schedule(
         self, submission: Submission, match: RouteMatch, now: float
     ) -> list[CoreAction]:
         raise NotImplementedError
@@ -156,82 +157,85 @@
         return find_route(self._catalog, submission.model, submission.path, labels)
 
 
-class DispatchNode(BaselineNode):
-    """Dispatches at once, to the least of ``choices`` upstreams by late reports.
+class LeastLoadedNode(BaselineNode):
+    """Dispatches immediately to the least loaded of ``choices`` random upstreams.
 
-    A node adds what it sent itself since, or a whole interval's arrivals would all
-    go to one upstream. None looks at all upstreams.
+    The load is the larger of the delayed report and the node's own requests in
+    flight; by the reports alone, all arrivals of one report interval would go to the
+    same upstream. If ``choices`` is None, all upstreams are candidates.
     """
 
     def __init__(
         self,
-        place: Place,
-        reported: ReportedLoad,
+        placement: NodePlacement,
+        reported_load: ReportedLoad,
         rng: random.Random,
         choices: int | None,
     ) -> None:
-        super().__init__(place, reported, rng)
+        super().__init__(placement, reported_load, rng)
         self._choices = choices
-        self._sent: Counter[UpstreamId] = Counter()
-        self._where: dict[RequestId, UpstreamId] = {}
+        self._in_flight: Counter[UpstreamId] = Counter()
+        self._upstream_by_request: dict[RequestId, UpstreamId] = {}
 
-    def _place(
+    def _schedule(
         self, submission: Submission, match: RouteMatch, now: float
     ) -> list[CoreAction]:
-        allowed = [name for name in match.upstreams if name not in submission.excluded]
-        allowed = allowed or list(match.upstreams)
-        if self._choices is not None and len(allowed) > self._choices:
-            allowed = self._rng.sample(allowed, self._choices)
-        chosen = min(allowed, key=self._load_of)
-        self._sent[chosen] += 1
-        self._where[submission.request_id] = chosen
+        candidates = [
+            name for name in match.upstreams if name not in submission.excluded
+        ]
+        candidates = candidates or list(match.upstreams)
+        if self._choices is not None and len(candidates) > self._choices:
+            candidates = self._rng.sample(candidates, self._choices)
+        chosen = min(candidates, key=self._relative_load)
+        self._in_flight[chosen] += 1
+        self._upstream_by_request[submission.request_id] = chosen
         return [Granted(submission.request_id, chosen, 0)]
 
     def finish(
         self, request_id: RequestId, usage: Usage, now: float
     ) -> list[CoreAction]:
-        """Count one less where the request was."""
-        chosen = self._where.pop(request_id, None)
+        """Remove the request from its upstream's count in flight."""
+        chosen = self._upstream_by_request.pop(request_id, None)
         if chosen is not None:
-            self._sent[chosen] -= 1
+            self._in_flight[chosen] -= 1
         return []
 
-    def _load_of(self, upstream: UpstreamId) -> tuple[float, float]:
+    def _relative_load(self, upstream: UpstreamId) -> tuple[float, float]:
         slots = self._catalog.upstreams[upstream].slots
-        load = max(self._reported(upstream), self._sent[upstream])
+        load = max(self._reported_load(upstream), self._in_flight[upstream])
         return load / slots, self._rng.random()
 
 
 class FixedShareNode(BaselineNode):
-    """Owns a fixed share of every upstream's slots, with a queue of its own."""
+    """Schedules a fixed share of every upstream's slots with a local queue."""
 
     def __init__(
-        self, place: Place, reported: ReportedLoad, rng: random.Random
+        self, placement: NodePlacement, reported_load: ReportedLoad, rng: random.Random
     ) -> None:
-        super().__init__(place, reported, rng)
+        super().__init__(placement, reported_load, rng)
         self._owners: dict[str, PoolOwner] = {}
-        self._held: dict[RequestId, tuple[str, Grant]] = {}
+        self._grants: dict[RequestId, tuple[str, Grant]] = {}
 
     def take_config(
         self, state: ConfigState, source: str, now: float
     ) -> list[CoreAction]:
-        """Divide the declared slots."""
+        """Compute this node's share of the declared slots."""
         super().take_config(state, source, now)
         for pool, specs in self._catalog.pools.items():
             owner = self._owners.setdefault(pool, PoolOwner(pool, 1, now))
-            shares = {}
+            upstreams = {}
             for position, (name, spec) in enumerate(specs.items()):
-                slots = self._share_of(spec.slots, position)
+                slots = self._slot_share(spec.slots, position)
                 if slots:
-                    shares[name] = spec.model_copy(update={"slots": slots})
-            owner.set_upstreams(shares, (), 1.0)
+                    upstreams[name] = spec.model_copy(update={"slots": slots})
+            owner.set_upstreams(upstreams, (), 1.0)
         return []
 
-    def _share_of(self, slots: int, position: int) -> int:
-        each, rest = divmod(slots, self._nodes)
-        return each + ((self._number + position) % self._nodes < rest)
+    def _slot_share(self, slots: int, position: int) -> int:
+        share, remainder = divmod(slots, self._node_count)
+        return share + ((self._index + position) % self._node_count < remainder)
 
-    def _place(
+    def _schedule(
         self, submission: Submission, match: RouteMatch, now: float
     ) -> list[CoreAction]:
         name = submission.service_class or ClassName("")
@@ -252,37 +256,39 @@
             floor_share=spec.floor_share,
         )
         owner = self._owners[match.pool]
-        return self._collect(owner.reserve(self._node, Reserve(reservation), now))
+        return self._to_core_actions(
+            owner.reserve(self._node, Reserve(reservation), now)
+        )
 
     def finish(
         self, request_id: RequestId, usage: Usage, now: float
     ) -> list[CoreAction]:
-        """Give the slot back."""
-        held = self._held.pop(request_id, None)
+        """Release the request's slot."""
+        held = self._grants.pop(request_id, None)
         if held is None:
             return []
         pool, grant = held
         release = Release(
             grant.pool, request_id, grant.upstream, grant.token, usage, self._zone
         )
-        return self._collect(self._owners[pool].release(release, now))
+        return self._to_core_actions(self._owners[pool].release(release, now))
 
     def tick(self, now: float) -> list[CoreAction]:
-        """Refuse what waited too long."""
+        """Refuse requests that exceeded their maximum wait."""
         actions: list[CoreAction] = []
         for owner in self._owners.values():
             owner.keep_entry(self._node, now)
-            actions += self._collect(owner.tick(now))
+            actions += self._to_core_actions(owner.tick(now))
         return actions
 
-    def _collect(self, produced: Iterable[object]) -> list[CoreAction]:
+    def _to_core_actions(self, owner_actions: Iterable[object]) -> list[CoreAction]:
         actions: list[CoreAction] = []
-        for action in produced:
+        for action in owner_actions:
             if not isinstance(action, Send):
                 continue
             message = action.message
             if isinstance(message, Grant):
-                self._held[message.request_id] = (message.pool, message)
+                self._grants[message.request_id] = (message.pool, message)
                 actions.append(
                     Granted(message.request_id, message.upstream, message.token)
                 )
@@ -298,13 +304,16 @@
 
 
 def make_scheduler(
-    policy: Policy, place: Place, reported: ReportedLoad, rng: random.Random
+    policy: Policy,
+    placement: NodePlacement,
+    reported_load: ReportedLoad,
+    rng: random.Random,
 ) -> Scheduler:
-    """Return one node's scheduler."""
+    """Create a node's scheduler."""
     if policy is Policy.OWNERS:
-        return NodeCore(place.node, place.zone, place.incarnation, rng)
+        return NodeCore(placement.node, placement.zone, placement.incarnation, rng)
     if policy is Policy.LEAST_REPORTED:
-        return DispatchNode(place, reported, rng, None)
+        return LeastLoadedNode(placement, reported_load, rng, None)
     if policy is Policy.TWO_CHOICES:
-        return DispatchNode(place, reported, rng, 2)
-    return FixedShareNode(place, reported, rng)
+        return LeastLoadedNode(placement, reported_load, rng, 2)
+    return FixedShareNode(placement, reported_load, rng)
--- a/src/rudderpass/replay/_result.py
+++ b/src/rudderpass/replay/_result.py
@@ -1,4 +1,4 @@
-"""What a replay is judged by."""
+"""Metrics of a replay."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 @dataclass(frozen=True)
 class ClassResult:
-    """One class's figures over a whole replay.
+    """One class's metrics over a whole replay.
 
     :param attainment: share of all requests that met every target.
-    :param goodput: tokens a second of answers that met every target.
-    :param starved: the longest wait for service, in seconds.
+    :param goodput: tokens per second of answers that met every target.
+    :param starved: the longest wait in seconds for the first token, or for the end if
+        there was none.
     :param over_wait: requests that waited longer than their class allows.
     """
 
@@ -38,11 +39,11 @@
 
 @dataclass(frozen=True)
 class ReplayResult:
-    """A whole replay's figures.
+    """Metrics of a whole replay.
 
-    :param wasted_share: tokens thrown away, of all tokens made.
-    :param oversubscribed: most work that any engine ran above its slots.
-    :param messages_per_request: peer messages for each request.
+    :param wasted_share: discarded tokens, as a share of all tokens produced.
+    :param oversubscribed: most requests that any engine ran above its slots.
+    :param messages_per_request: peer messages sent per request.
     """
 
     policy: str
@@ -58,27 +59,29 @@
     messages_per_request: float
 
     def row(self, name: str) -> ClassResult:
-        """Return one class's figures."""
+        """Return one class's metrics."""
         return next(row for row in self.rows if row.name == name)
 
     def as_json(self) -> dict[str, object]:
-        """Return the result for a script."""
+        """Return the result as JSON-serializable values."""
         return asdict(self)
 
 
-def judge(cluster: Cluster, catalog: Catalog, policy: str, seed: int) -> ReplayResult:
-    """Return the figures of a replay that has been played."""
+def summarize(
+    cluster: Cluster, catalog: Catalog, policy: str, seed: int
+) -> ReplayResult:
+    """Return the metrics of a finished replay."""
     callers = cluster.callers
     seconds = max((caller.arrival.at for caller in callers), default=1.0)
     rows = []
     for name, spec in catalog.classes.items():
-        of_class = [item for item in callers if item.arrival.service_class == name]
-        if of_class:
-            rows.append(_judge_class(name, spec, of_class, seconds))
-    made = sum(engine.totals.tokens for engine in cluster.engines.values())
+        class_callers = [item for item in callers if item.arrival.service_class == name]
+        if class_callers:
+            rows.append(_summarize_class(name, spec, class_callers, seconds))
+    produced = sum(engine.totals.tokens for engine in cluster.engines.values())
     wasted = sum(caller.wasted for caller in callers)
     excess = [
-        engine.totals.busiest - catalog.upstreams[name].slots
+        engine.totals.peak_running - catalog.upstreams[name].slots
         for name, engine in cluster.engines.items()
     ]
     messages = sum(node.messages for node in cluster.nodes)
@@ -89,7 +92,7 @@
         seconds=seconds,
         rows=tuple(sorted(rows, key=lambda row: (row.tier, row.name))),
         goodput=sum(row.goodput for row in rows),
-        wasted_share=wasted / made if made else 0.0,
+        wasted_share=wasted / produced if produced else 0.0,
         unanswered=sum(caller.outcome is None for caller in callers),
         run_twice=_count_run_twice(callers),
         oversubscribed=max(0, *excess) if excess else 0,
@@ -103,22 +106,22 @@
     )
 
 
-def _judge_class(
+def _summarize_class(
     name: ClassName,
     spec: ServiceClassSpec,
     callers: Sequence[Caller],
     seconds: float,
 ) -> ClassResult:
-    attained = [caller for caller in callers if has_attained(spec, caller)]
-    waits = sorted(_wait_of(caller) for caller in callers)
-    limit = spec.max_wait_seconds + _TICK_MARGIN
+    on_target = [caller for caller in callers if met_targets(spec, caller)]
+    waits = sorted(_wait_for_service(caller) for caller in callers)
+    limit = spec.max_wait_seconds + _TICK_MARGIN_SECONDS
     return ClassResult(
         name=name,
         tier=spec.tier,
         requests=len(callers),
         completed=sum(caller.outcome is Outcome.COMPLETED for caller in callers),
-        attainment=len(attained) / len(callers),
-        goodput=sum(item.arrival.output_tokens for item in attained) / seconds,
+        attainment=len(on_target) / len(callers),
+        goodput=sum(item.arrival.output_tokens for item in on_target) / seconds,
         starved=waits[-1],
         first_token_p95=waits[int(0.95 * (len(waits) - 1))],
         shed=sum(caller.reason == "overload" for caller in callers),
@@ -128,29 +131,32 @@
     )
 
 
-_TICK_MARGIN = 1.5
+_TICK_MARGIN_SECONDS = 1.5
 
 
-def _wait_of(caller: Caller) -> float:
+def _wait_for_service(caller: Caller) -> float:
     started = caller.first_token_at or caller.ended_at
     return (started - caller.sent_at) if started is not None else 0.0
 
 
-def has_attained(spec: ServiceClassSpec, caller: Caller) -> bool:
-    """Tell whether a caller's answer met every target of its class."""
+def met_targets(spec: ServiceClassSpec, caller: Caller) -> bool:
+    """Return whether a caller's answer met every target of its class."""
     if caller.outcome is not Outcome.COMPLETED or caller.ended_at is None:
         return False
-    whole = caller.ended_at - caller.sent_at
-    first = whole
+    total = caller.ended_at - caller.sent_at
+    first_token = total
     if caller.first_token_at is not None:
-        first = caller.first_token_at - caller.sent_at
+        first_token = caller.first_token_at - caller.sent_at
     targets = spec.targets
-    if targets.first_token_seconds is not None and first > targets.first_token_seconds:
+    if (
+        targets.first_token_seconds is not None
+        and first_token > targets.first_token_seconds
+    ):
         return False
     tokens = caller.arrival.output_tokens
     if targets.between_tokens_seconds is not None and tokens > 1:
-        if (whole - first) / (tokens - 1) > targets.between_tokens_seconds:
+        if (total - first_token) / (tokens - 1) > targets.between_tokens_seconds:
             return False
     if targets.whole_answer_seconds is not None:
-        return whole <= targets.whole_answer_seconds
+        return total <= targets.whole_answer_seconds
     return True
--- a/src/rudderpass/replay/_trace.py
+++ b/src/rudderpass/replay/_trace.py
@@ -1,4 +1,4 @@
-"""The trace format: one JSON object a line. See docs/TRACES.md."""
+"""The trace format: one JSON object per line. See docs/TRACES.md."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 class Arrival(Spec):
     """One request of a trace.
 
-    :param at: seconds from the trace's start.
-    :param entry: share of the nodes, from 0 to 1, behind which the balancer put
-        the request; None lets the replay choose.
+    :param at: seconds from the start of the trace.
+    :param entry: the node that receives the request, as a position from 0 to 1 among
+        the live nodes; None lets the replay choose one.
     """
 
     type: Literal["arrival"] = "arrival"
@@ -44,10 +44,11 @@
 
 
 class Fault(Spec):
-    """One fault of a trace, in force until ``until``.
+    """One fault of a trace, active until ``until``.
 
-    :param target: what is hit: an upstream, a node by number, or a zone.
-    :param factor: for ``slow``, how many times slower.
+    :param target: the affected upstream, node (by number) or zone.
+    :param factor: the slowdown for ``engine-slow``; the lag in seconds for
+        ``reports-lag``.
     """
 
     type: Literal["fault"] = "fault"
@@ -76,7 +77,7 @@
 def read_trace(path: Path) -> tuple[TraceLine, ...]:
     """Read a trace, sorted by time.
 
-    :raises TraceError: naming the file and line of the first error.
+    :raises TraceError: with the file and line of the first error.
     """
     lines: list[TraceLine] = []
     try:
@@ -94,18 +95,18 @@
             message = f"{path}:{number}: {field}: {detail['msg']}"
             raise TraceError(message, step="read trace") from error
     if not any(isinstance(line, Arrival) for line in lines):
-        raise TraceError(f"{path}: holds no arrivals", step="read trace")
+        raise TraceError(f"{path}: contains no arrivals", step="read trace")
     return tuple(sorted(lines, key=lambda item: item.at))
 
 
 def write_trace(path: Path, lines: Iterable[TraceLine]) -> None:
-    """Write a trace; fields at their defaults are left out."""
+    """Write a trace, without the fields that have their default values."""
     text = "".join(dump_line(line) + "\n" for line in lines)
     path.write_text(text, encoding="utf-8")
 
 
 def dump_line(line: TraceLine) -> str:
-    """Return one line of a trace."""
-    kept = line.model_copy()
-    values = kept.model_dump_json(by_alias=True, exclude_defaults=True)
+    """Return one line of a trace as JSON."""
+    copy = line.model_copy()
+    values = copy.model_dump_json(by_alias=True, exclude_defaults=True)
     return values.replace("{", f'{{"type":"{line.type}",', 1)
--- a/src/rudderpass/standins/__init__.py
+++ b/src/rudderpass/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for engines, desks and the platform, for demo, bench and tests."""
+"""Stand-ins for engines, desks and the platform, for the demo, benchmarks and tests."""
 
 from rudderpass.standins._answers import (
     AnswerPlan as AnswerPlan,
@@ -7,7 +7,7 @@
 )
 from rudderpass.standins._desk import (
     StandInDesk as StandInDesk,
-    booking_of as booking_of,
+    booking_number as booking_number,
 )
 from rudderpass.standins._engine import (
     EngineSpeed as EngineSpeed,
--- a/src/rudderpass/standins/_answers.py
+++ b/src/rudderpass/standins/_answers.py
@@ -1,7 +1,7 @@
-"""What the stand-ins answer, so that a caller can check its own answer.
+"""Predictable answers of the stand-ins, so that callers can verify what they receive.
 
-A prompt carries a marker ``[[id=... tokens=...]]`` that only stand-ins read; real
-engines would find the length by running.
+A prompt carries a marker ``[[id=... tokens=...]]``, which sets the answer's content and
+length. Only stand-ins read it; real engines generate until they stop.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 class AnswerPlan:
     """The answer to one prompt.
 
-    :param marker: the id that the prompt carries.
-    :param tokens: how many tokens the answer has.
+    :param marker: the id from the prompt's marker.
+    :param tokens: length of the answer in tokens.
     """
 
     marker: str
     tokens: int
 
     def token(self, index: int) -> str:
-        """Return one token of the answer, by its position."""
+        """Return the token at a position of the answer."""
         seed = hashlib.blake2b(f"{self.marker}:{index}".encode(), digest_size=4)
         word = _WORDS[seed.digest()[0] % len(_WORDS)]
         return f"{word}-{seed.hexdigest()} "
 
     def text(self) -> str:
-        """Return the whole answer."""
+        """Return the complete answer."""
         return "".join(self.token(index) for index in range(self.tokens))
 
 
 def plan_answer(prompt: str) -> AnswerPlan:
-    """Return the one answer that every engine gives to ``prompt``."""
-    found = _MARKER.search(prompt)
-    if found is None:
+    """Return the answer that every stand-in engine gives to ``prompt``."""
+    match = _MARKER.search(prompt)
+    if match is None:
         digest = hashlib.blake2b(prompt.encode(), digest_size=6).hexdigest()
         return AnswerPlan(digest, _DEFAULT_TOKENS)
-    return AnswerPlan(found.group(1), int(found.group(2)))
+    return AnswerPlan(match.group(1), int(match.group(2)))
 
 
 def mark_prompt(text: str, marker: str, tokens: int) -> str:
-    """Return a prompt whose answer is known beforehand."""
+    """Return a prompt whose answer is known in advance."""
     return f"{text} [[id={marker} tokens={tokens}]]"
--- a/src/rudderpass/standins/_desk.py
+++ b/src/rudderpass/standins/_desk.py
@@ -1,4 +1,4 @@
-"""A stand-in for a booking desk: it records every start and can lose its answer."""
+"""A stand-in for a booking desk, which counts every start and can drop answers."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 _THREADS = 32
 
 
-def booking_of(body: bytes) -> str:
-    """Return the booking number that a desk gives to a request's body."""
+def booking_number(body: bytes) -> str:
+    """Return the booking number that a desk assigns to a request body."""
     return hashlib.blake2b(body, digest_size=8).hexdigest()
 
 
 class StandInDesk:
-    """Books whatever it is asked to.
+    """Accepts every booking.
 
-    :param seconds: how long one booking takes.
+    :param seconds: duration of one booking.
 
     .. versionadded:: 0.1
     """
@@ -39,11 +39,11 @@
         self.address = self._server.address
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._server.start()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._server.close()
 
     def _app(
@@ -51,23 +51,23 @@
     ) -> Iterable[bytes]:
         body = environ["wsgi.input"].read()
         json_type = ("Content-Type", "application/json")
-        if self._take("refuse"):
+        if self._consume_fault("refuse"):
             headers = [json_type, ("X-Request-Executed", "false")]
             start_response("503 Service Unavailable", headers)
             return [b'{"error": "desk is closed"}']
-        booking = booking_of(body)
+        booking = booking_number(body)
         with self._lock:
             self.starts[booking] += 1
         time.sleep(self.seconds)
-        if self._take("lose_answers"):
+        if self._consume_fault("lose_answers"):
             raise ConnectionAbortedError("answer lost")
         start_response("200 OK", [json_type])
         return [json.dumps({"booking": booking}).encode()]
 
-    def _take(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
-            left: int = getattr(self, fault)
-            if left < 1:
+            remaining: int = getattr(self, fault)
+            if remaining < 1:
                 return False
-            setattr(self, fault, left - 1)
+            setattr(self, fault, remaining - 1)
             return True
--- a/src/rudderpass/standins/_engine.py
+++ b/src/rudderpass/standins/_engine.py
@@ -1,5 +1,5 @@
-"""A stand-in for a model engine: continuous batching, priorities, a prefix cache,
-resumption, cancellation, and faults on demand."""
+"""A stand-in for a model engine, with continuous batching, priorities, a prefix cache,
+resumption, cancellation and simulated faults."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from rudderpass.webserver import HttpServer, ServerLimits
 
 _SPARE_THREADS = 16
-_SECONDS_PER_KILOCHARACTER = 0.12
+_PREFILL_SECONDS_PER_KILOCHARACTER = 0.12
 _FIRST_STEP_SECONDS = 0.03
-_CACHED_SHARE = 0.8
+_CACHED_PREFILL_SHARE = 0.8
 _PREFIX_CHARACTERS = 512
-_PREFIXES_KEPT = 64
-_FULL_SLOWDOWN = 0.5
+_PREFIX_CACHE_SIZE = 64
+_FULL_BATCH_SLOWDOWN = 0.5
 _IDLE_POLL_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class EngineSpeed:
-    """How fast an engine is.
+    """The speed and capacity of an engine.
 
     :param gap: seconds between tokens when it runs one request.
-    :param slots: requests in one batch; more wait inside by priority.
+    :param slots: maximum batch size; further requests queue by priority.
     """
 
     gap: float = 0.02
@@ -41,7 +41,7 @@
 
 @dataclass
 class EngineCounts:
-    """What an engine did since its start."""
+    """Counters of an engine since its start."""
 
     starts: Counter[str] = field(default_factory=Counter)
     last_start: float = 0.0
@@ -57,12 +57,12 @@
     request_id: str
     model: str
     write: Callable[[bytes], object] | None
-    is_gone: Callable[[], bool]
+    is_disconnected: Callable[[], bool]
     position: int
     ready_at: float = 0.0
-    began: int = 0
+    start_position: int = 0
     done: threading.Event = field(default_factory=threading.Event)
-    cut: bool = False
+    aborted: bool = False
 
     def event(self) -> bytes:
         chunk = {
@@ -82,9 +82,9 @@
 
 
 class StandInEngine:
-    """Serves the completions API on an address of its own.
+    """Serves the completions API.
 
-    :param address: ``ip:port``; port 0 takes a free one.
+    :param address: ``ip:port``; port 0 selects a free port.
 
     .. versionadded:: 0.1
     """
@@ -106,19 +106,19 @@
         self._thread = threading.Thread(target=self._run, name="engine", daemon=True)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._server.start()
         self._thread.start()
 
     def close(self) -> None:
-        """Stop at once; running requests are cut, as by a crash."""
+        """Stop immediately and abort running requests, as a crash would."""
         with self._lock:
             self._closed = True
             for sequence in self._running:
-                self.counts.wasted += sequence.position - sequence.began
-                self._cut(sequence)
+                self.counts.wasted += sequence.position - sequence.start_position
+                self._abort(sequence)
             for _, _, sequence in self._waiting:
-                self._cut(sequence)
+                self._abort(sequence)
             self._lock.notify_all()
         self._server.close()
 
@@ -127,27 +127,29 @@
     ) -> Iterable[bytes]:
         body = environ["wsgi.input"].read()
         try:
-            value = json.loads(body)
-            prompt = _prompt_of(value)
+            request = json.loads(body)
+            prompt = _extract_prompt(request)
         except (ValueError, AttributeError):
             start_response("400 Bad Request", [("Content-Type", "text/plain")])
             return [b"bad request\n"]
         write = None
-        if value.get("stream"):
+        if request.get("stream"):
             headers = [("Content-Type", "text/event-stream")]
             write = start_response("200 OK", headers)
         sequence = _Sequence(
             plan_answer(prompt),
             environ.get("HTTP_X_REQUEST_ID", "unnamed"),
-            str(value.get("model", "")),
+            str(request.get("model", "")),
             write,
             environ["waitress.client_disconnected"],
             position=int(environ.get("HTTP_X_RESUME_OFFSET", "0")),
         )
-        sequence.began = sequence.position
-        self._admit(sequence, prompt, int(environ.get("HTTP_X_REQUEST_PRIORITY", "5")))
+        sequence.start_position = sequence.position
+        self._enqueue(
+            sequence, prompt, int(environ.get("HTTP_X_REQUEST_PRIORITY", "5"))
+        )
         sequence.done.wait()
-        if sequence.cut:
+        if sequence.aborted:
             raise ConnectionAbortedError("engine crashed")
         return self._finish(sequence, start_response)
 
@@ -170,18 +172,18 @@
             ],
             "usage": {"completion_tokens": sequence.plan.tokens},
         }
-        start_response(_ok(), [("Content-Type", "application/json")])
+        start_response(_ok_status(), [("Content-Type", "application/json")])
         return [json.dumps(body).encode()]
 
-    def _admit(self, sequence: _Sequence, prompt: str, priority: int) -> None:
-        seconds = len(prompt) / 1000 * _SECONDS_PER_KILOCHARACTER
+    def _enqueue(self, sequence: _Sequence, prompt: str, priority: int) -> None:
+        seconds = len(prompt) / 1000 * _PREFILL_SECONDS_PER_KILOCHARACTER
         with self._lock:
             prefix = prompt[:_PREFIX_CHARACTERS]
             if prefix in self._prefixes:
-                seconds *= 1 - _CACHED_SHARE
+                seconds *= 1 - _CACHED_PREFILL_SHARE
             self._prefixes[prefix] = None
             self._prefixes.move_to_end(prefix)
-            if len(self._prefixes) > _PREFIXES_KEPT:
+            if len(self._prefixes) > _PREFIX_CACHE_SIZE:
                 self._prefixes.popitem(last=False)
             sequence.ready_at = seconds + _FIRST_STEP_SECONDS
             self.counts.starts[sequence.request_id] += 1
@@ -195,24 +197,24 @@
             with self._lock:
                 if self._closed:
                     return
-                self._fill(time.monotonic())
+                self._fill_batch(time.monotonic())
                 if not self._running:
                     self._lock.wait(_IDLE_POLL_SECONDS)
                     next_step = time.monotonic()
                     continue
             next_step += self._step_seconds()
-            pause = next_step - time.monotonic()
-            if pause > 0:
-                time.sleep(pause)
+            delay = next_step - time.monotonic()
+            if delay > 0:
+                time.sleep(delay)
             else:
                 next_step = time.monotonic()
             self._step(time.monotonic())
 
     def _step_seconds(self) -> float:
         load = len(self._running) / self.speed.slots
-        return self.speed.gap * self.slowdown * (1 + _FULL_SLOWDOWN * load)
+        return self.speed.gap * self.slowdown * (1 + _FULL_BATCH_SLOWDOWN * load)
 
-    def _fill(self, now: float) -> None:
+    def _fill_batch(self, now: float) -> None:
         while self._waiting and len(self._running) < self.speed.slots:
             _, _, sequence = heapq.heappop(self._waiting)
             sequence.ready_at = now + sequence.ready_at * self.slowdown
@@ -223,14 +225,14 @@
             if sequence.ready_at > now:
                 continue
             if not self._emit(sequence):
-                self.counts.wasted += sequence.position - sequence.began
-                self._end(sequence, cut=True)
+                self.counts.wasted += sequence.position - sequence.start_position
+                self._end(sequence, aborted=True)
             elif sequence.position >= sequence.plan.tokens:
-                self._end(sequence, cut=False)
+                self._end(sequence, aborted=False)
 
     def _emit(self, sequence: _Sequence) -> bool:
-        """Produce one token; tell whether somebody still wants it."""
-        if sequence.is_gone():
+        """Produce one token; return False if the caller has disconnected."""
+        if sequence.is_disconnected():
             return False
         if sequence.write is not None:
             try:
@@ -241,26 +243,26 @@
         self.counts.tokens += 1
         return True
 
-    def _end(self, sequence: _Sequence, cut: bool) -> None:
+    def _end(self, sequence: _Sequence, aborted: bool) -> None:
         with self._lock:
             if sequence in self._running:
                 self._running.remove(sequence)
-        if cut:
-            self._cut(sequence)
+        if aborted:
+            self._abort(sequence)
         else:
             sequence.done.set()
 
     @staticmethod
-    def _cut(sequence: _Sequence) -> None:
-        sequence.cut = True
+    def _abort(sequence: _Sequence) -> None:
+        sequence.aborted = True
         sequence.done.set()
 
 
-def _prompt_of(value: dict[str, Any]) -> str:
-    if "messages" in value:
-        return "\n".join(str(item.get("content", "")) for item in value["messages"])
-    return str(value.get("prompt", ""))
+def _extract_prompt(request: dict[str, Any]) -> str:
+    if "messages" in request:
+        return "\n".join(str(item.get("content", "")) for item in request["messages"])
+    return str(request.get("prompt", ""))
 
 
-def _ok() -> str:
+def _ok_status() -> str:
     return f"{HTTPStatus.OK.value} {HTTPStatus.OK.phrase}"
--- a/src/rudderpass/standins/_platform.py
+++ b/src/rudderpass/standins/_platform.py
@@ -16,14 +16,14 @@
 from rudderpass.webserver import HttpServer, ServerLimits
 
 _THREADS = 48
-_PAGE_RECORDS = 5000
-_WEIGHT_PIECE = 64 * 1024
+_MAX_PAGE_RECORDS = 5000
+_WEIGHT_CHUNK_BYTES = 64 * 1024
 
 StartResponse = Callable[..., Any]
 
 
 class LogFault(Enum):
-    """What is wrong with the log at the moment."""
+    """A fault that the log simulates."""
 
     NONE = "none"
     DOWN = "down"
@@ -41,9 +41,9 @@
 
 
 class StandInLog:
-    """An append-only log in memory.
+    """An append-only in-memory log.
 
-    :param retention: how many records a stream keeps.
+    :param retention: maximum number of records that a stream keeps.
 
     .. versionadded:: 0.1
     """
@@ -54,45 +54,47 @@
         self.appends = 0
         self._retention = retention
         self._streams: dict[str, _Stream] = {}
-        self._changed = threading.Condition()
+        self._records_changed = threading.Condition()
         self._server = HttpServer(self._app, address, ServerLimits(_THREADS))
         self.address = self._server.address
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._server.start()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._server.close()
 
     def append(self, stream: str, data: bytes) -> int:
         """Append one record and return its offset."""
-        with self._changed:
-            kept = self._streams.setdefault(stream, _Stream())
-            offset = kept.end
-            kept.records.append(data)
+        with self._records_changed:
+            log_stream = self._streams.setdefault(stream, _Stream())
+            offset = log_stream.end
+            log_stream.records.append(data)
             self.appends += 1
-            surplus = len(kept.records) - self._retention
-            if surplus > 0:
-                del kept.records[:surplus]
-                kept.first += surplus
-            self._changed.notify_all()
+            excess = len(log_stream.records) - self._retention
+            if excess > 0:
+                del log_stream.records[:excess]
+                log_stream.first += excess
+            self._records_changed.notify_all()
             return offset
 
     def read(self, stream: str, offset: int, wait: float) -> LogPage:
-        """Return records from ``offset``, waiting for the first of them."""
+        """Return records from ``offset`` on, after at most ``wait`` seconds."""
         deadline = time.monotonic() + wait
-        with self._changed:
-            kept = self._streams.setdefault(stream, _Stream())
-            while kept.end <= offset and time.monotonic() < deadline:
-                self._changed.wait(deadline - time.monotonic())
-            start = max(offset, kept.first)
-            taken = kept.records[start - kept.first :][:_PAGE_RECORDS]
+        with self._records_changed:
+            log_stream = self._streams.setdefault(stream, _Stream())
+            while log_stream.end <= offset and time.monotonic() < deadline:
+                self._records_changed.wait(deadline - time.monotonic())
+            start = max(offset, log_stream.first)
+            selected = log_stream.records[start - log_stream.first :][
+                :_MAX_PAGE_RECORDS
+            ]
             records = tuple(
-                LogRecord(start + index, data) for index, data in enumerate(taken)
+                LogRecord(start + index, data) for index, data in enumerate(selected)
             )
-            return LogPage(records, kept.first, kept.end)
+            return LogPage(records, log_stream.first, log_stream.end)
 
     def _app(
         self, environ: dict[str, Any], start_response: StartResponse
@@ -118,9 +120,9 @@
 
 
 class StandInHostList:
-    """A list of hosts that can lag.
+    """A host list whose changes can be delayed.
 
-    :param lag: seconds after which a change shows.
+    :param lag: seconds until a change becomes visible.
 
     .. versionadded:: 0.1
     """
@@ -130,41 +132,41 @@
         self._lock = threading.Lock()
         self._nodes: dict[str, HostRecord] = {}
         self._upstreams: dict[str, HostState] = {}
-        self._shown = self._dump()
-        self._next: list[tuple[float, bytes]] = []
+        self._visible = self._encode()
+        self._pending: list[tuple[float, bytes]] = []
         self._server = HttpServer(self._app, address, ServerLimits(_THREADS))
         self.address = self._server.address
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._server.start()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._server.close()
 
     def set_node(self, record: HostRecord) -> None:
-        """List one of the system's hosts."""
+        """Add or update one of the system's hosts."""
         with self._lock:
             self._nodes[record.node] = record
-            self._note_change()
+            self._queue_update()
 
     def remove_node(self, node: str) -> None:
-        """Take one of the system's hosts off the list."""
+        """Remove one of the system's hosts."""
         with self._lock:
             self._nodes.pop(node, None)
-            self._note_change()
+            self._queue_update()
 
     def set_upstream(self, address: str, state: HostState) -> None:
-        """List one upstream's host."""
+        """Add or update one upstream's host."""
         with self._lock:
             self._upstreams[address] = state
-            self._note_change()
+            self._queue_update()
 
-    def _note_change(self) -> None:
-        self._next.append((time.monotonic() + self.lag, self._dump()))
+    def _queue_update(self) -> None:
+        self._pending.append((time.monotonic() + self.lag, self._encode()))
 
-    def _dump(self) -> bytes:
+    def _encode(self) -> bytes:
         nodes = [
             {"address": item.node, "zone": item.zone, "state": item.state.value}
             for item in self._nodes.values()
@@ -180,17 +182,17 @@
     ) -> Iterable[bytes]:
         with self._lock:
             now = time.monotonic()
-            while self._next and self._next[0][0] <= now:
-                self._shown = self._next.pop(0)[1]
-            body = self._shown
+            while self._pending and self._pending[0][0] <= now:
+                self._visible = self._pending.pop(0)[1]
+            body = self._visible
         start_response("200 OK", [("Content-Type", "application/json")])
         return [body]
 
 
 class StandInWeightStore:
-    """Serves weights at a limited rate, shared by all readers.
+    """Serves model weights with a bandwidth limit shared by all readers.
 
-    :param bytes_per_second: the rate.
+    :param bytes_per_second: the bandwidth limit.
 
     .. versionadded:: 0.1
     """
@@ -200,16 +202,16 @@
     ) -> None:
         self._rate = bytes_per_second
         self._lock = threading.Lock()
-        self._free_at = 0.0
+        self._available_at = 0.0
         self._server = HttpServer(self._app, address, ServerLimits(_THREADS))
         self.address = self._server.address
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._server.start()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._server.close()
 
     def _app(
@@ -223,17 +225,17 @@
                 ("Content-Length", str(size)),
             ],
         )
-        return self._pieces(size)
+        return self._chunks(size)
 
-    def _pieces(self, size: int) -> Iterable[bytes]:
-        for begin in range(0, size, _WEIGHT_PIECE):
-            piece = min(_WEIGHT_PIECE, size - begin)
-            self._pay(piece)
-            yield bytes(piece)
+    def _chunks(self, size: int) -> Iterable[bytes]:
+        for begin in range(0, size, _WEIGHT_CHUNK_BYTES):
+            chunk = min(_WEIGHT_CHUNK_BYTES, size - begin)
+            self._throttle(chunk)
+            yield bytes(chunk)
 
-    def _pay(self, size: int) -> None:
+    def _throttle(self, size: int) -> None:
         with self._lock:
             now = time.monotonic()
-            self._free_at = max(now, self._free_at) + size / self._rate
-            pause = self._free_at - now
-        time.sleep(pause)
+            self._available_at = max(now, self._available_at) + size / self._rate
+            delay = self._available_at - now
+        time.sleep(delay)
--- a/tests/demo/test_checks.py
+++ b/tests/demo/test_checks.py
@@ -1,4 +1,4 @@
-"""The demo's checks can fail: each finds the breach that it is there for."""
+"""Each of the demo's checks detects the violation that it guards against."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rudderpass.declarations import Catalog
 from rudderpass.demo._caller import Answer
 from rudderpass.demo._checks import Incidents, check_promises
-from rudderpass.demo._deployment import World
+from rudderpass.demo._deployment import DemoDeployment
 from rudderpass.demo._report import build_rows
 from rudderpass.replay import Arrival
 from rudderpass.standins._engine import EngineCounts
@@ -32,8 +32,8 @@
 
 
 @dataclass
-class FakeWorld:
-    """As much of a world as the checks look at."""
+class FakeDeployment:
+    """The part of a deployment that the checks use."""
 
     catalog: Catalog = field(default_factory=make_catalog)
     engines: dict[str, FakeEngine] = field(default_factory=lambda: {"u1": FakeEngine()})
@@ -50,73 +50,75 @@
     )
     answer = Answer(arrival, node=0, sent_at=100.0, request_id=f"req-{name}")
     answer.outcome = Outcome.COMPLETED
-    answer.first_token, answer.whole, answer.tokens = 0.1, 1.0, 10
+    answer.first_token, answer.duration, answer.tokens = 0.1, 1.0, 10
     for field_name, value in changes.items():
         setattr(answer, field_name, value)
     return answer
 
 
-def broken(
+def broken_promises(
     answers: list[Answer],
     incidents: Incidents | None = None,
-    world: FakeWorld | None = None,
+    deployment: FakeDeployment | None = None,
 ) -> set[int]:
     promises = check_promises(
-        cast(World, world or FakeWorld()), answers, incidents or Incidents()
+        cast(DemoDeployment, deployment or FakeDeployment()),
+        answers,
+        incidents or Incidents(),
     )
     return {number for number, item in enumerate(promises) if item.broken}
 
 
 def test_good_answers_break_nothing() -> None:
-    assert broken([make_answer("a"), make_answer("b", "batch")]) == set()
+    assert broken_promises([make_answer("a"), make_answer("b", "batch")]) == set()
 
 
 @pytest.mark.parametrize(
     "changes", [{"text": "of somebody else"}, {"outcome": None, "error": "cut"}]
 )
 def test_a_wrong_or_cut_answer_is_found(changes: dict[str, Any]) -> None:
-    assert OWN in broken([make_answer("a", **changes)])
+    assert OWN in broken_promises([make_answer("a", **changes)])
 
 
-def test_work_that_ran_though_it_was_denied_is_found() -> None:
-    world = FakeWorld()
-    world.engines["u1"].counts.starts["req-a"] = 1
+def test_work_that_ran_but_is_reported_as_not_run_is_found() -> None:
+    deployment = FakeDeployment()
+    deployment.engines["u1"].counts.starts["req-a"] = 1
     answers = [make_answer("a", outcome=Outcome.NOT_RUN), make_answer("b")]
-    assert broken(answers, world=world) == {NOT_RUN}
+    assert broken_promises(answers, deployment=deployment) == {NOT_RUN}
 
 
 def test_a_booking_that_ran_twice_is_found() -> None:
-    world = FakeWorld()
-    world.desks["d1"].starts["b-1"] = 2
+    deployment = FakeDeployment()
+    deployment.desks["d1"].starts["b-1"] = 2
     answers = [make_answer("a", booking="b-1")]
-    assert broken(answers, world=world) == {ONCE}
+    assert broken_promises(answers, deployment=deployment) == {ONCE}
 
 
 def test_a_higher_tier_shed_while_a_lower_one_waited_is_found() -> None:
     shed = make_answer(
-        "a", outcome=Outcome.NOT_RUN, reason="overload", sent_at=102.0, whole=0.0
+        "a", outcome=Outcome.NOT_RUN, reason="overload", sent_at=102.0, duration=0.0
     )
-    waited = make_answer("b", "batch", first_token=9.0, whole=10.0)
+    waited = make_answer("b", "batch", first_token=9.0, duration=10.0)
     served = make_answer("c")
-    assert broken([shed, waited, served]) == {TIERS}
+    assert broken_promises([shed, waited, served]) == {TIERS}
 
 
 def test_a_class_that_nobody_served_is_found() -> None:
     starved = make_answer("a", "batch", outcome=Outcome.NOT_RUN)
-    assert broken([starved, make_answer("b")]) == {STARVE}
+    assert broken_promises([starved, make_answer("b")]) == {STARVE}
 
 
 def test_work_on_a_leaving_upstream_is_found() -> None:
-    world = FakeWorld()
-    world.engines["u1"].counts.last_start = 110.0
+    deployment = FakeDeployment()
+    deployment.engines["u1"].counts.last_start = 110.0
     incidents = Incidents(leaving_upstream="u1", leaving_at=100.0)
-    assert broken([make_answer("a")], incidents, world) == {LEAVING}
+    assert broken_promises([make_answer("a")], incidents, deployment) == {LEAVING}
 
 
 def test_a_request_cut_by_a_planned_stop_is_found() -> None:
     cut = make_answer("a", outcome=None, error="reset")
     incidents = Incidents(stopped_node=0, in_flight_at_stop=1)
-    assert STOP in broken([cut, make_answer("b")], incidents)
+    assert STOP in broken_promises([cut, make_answer("b")], incidents)
 
 
 @pytest.mark.parametrize(
@@ -124,14 +126,14 @@
     [
         Incidents(in_force_after=[9.0]),
         Incidents(versions=[[3, 2]]),
-        Incidents(stale_refused=False),
+        Incidents(stale_change_refused=False),
     ],
 )
 def test_a_configuration_that_is_late_or_reverts_is_found(incidents: Incidents) -> None:
-    assert broken([make_answer("a")], incidents) == {CONFIG}
+    assert broken_promises([make_answer("a")], incidents) == {CONFIG}
 
 
-def test_rows_count_what_attained() -> None:
+def test_rows_count_answers_that_met_their_targets() -> None:
     answers = [
         make_answer("a"),
         make_answer("b", first_token=2.0),
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from rudderpass.membership import HostState
-from rudderpass.standins import LogFault, booking_of, mark_prompt, plan_answer
+from rudderpass.standins import LogFault, booking_number, mark_prompt, plan_answer
 from tests.gateway.conftest import TIMEOUT, TOKEN, Bench, Reply, chat
 
 
@@ -64,7 +64,7 @@
 
 def test_a_desk_is_passed_through(bench: Bench) -> None:
     reply = bench.call(b'{"item": 1}', path="/bookings/hold")
-    assert reply.json == {"booking": booking_of(b'{"item": 1}')}
+    assert reply.json == {"booking": booking_number(b'{"item": 1}')}
     assert reply.headers["X-Rudderpass-Outcome"] == "completed"
 
 
@@ -72,14 +72,14 @@
     bench.desk.lose_answers = 1
     reply = bench.call(b'{"item": 2}', path="/bookings/hold")
     assert reply.headers["X-Rudderpass-Outcome"] == "unknown"
-    assert bench.desk.starts[booking_of(b'{"item": 2}')] == 1
+    assert bench.desk.starts[booking_number(b'{"item": 2}')] == 1
 
 
 def test_a_booking_that_the_desk_refuses_may_be_sent_again(bench: Bench) -> None:
     bench.desk.refuse = 1
     reply = bench.call(b'{"item": 3}', path="/bookings/hold")
     assert reply.status == 200
-    assert bench.desk.starts[booking_of(b'{"item": 3}')] == 1
+    assert bench.desk.starts[booking_number(b'{"item": 3}')] == 1
 
 
 def test_a_booking_that_is_always_refused_was_not_run(bench: Bench) -> None:
@@ -87,7 +87,7 @@
     reply = bench.call(b'{"item": 4}', path="/bookings/hold")
     assert reply.status == 502
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
-    assert bench.desk.starts[booking_of(b'{"item": 4}')] == 0
+    assert bench.desk.starts[booking_number(b'{"item": 4}')] == 0
 
 
 def test_a_stream_is_resumed_when_its_engine_crashes(bench: Bench) -> None:
@@ -189,18 +189,18 @@
         replies = list(
             callers.map(lambda _: book(bench, b'{"item": 5}', "key-5"), range(8))
         )
-    expected = {"booking": booking_of(b'{"item": 5}')}
+    expected = {"booking": booking_number(b'{"item": 5}')}
     assert all(reply.json == expected for reply in replies)
     replayed = [reply for reply in replies if "X-Rudderpass-Replayed" in reply.headers]
     assert len(replayed) == 7
-    assert bench.desk.starts[booking_of(b'{"item": 5}')] == 1
+    assert bench.desk.starts[booking_number(b'{"item": 5}')] == 1
 
 
 def test_a_key_used_with_another_body_is_refused(bench: Bench) -> None:
     book(bench, b'{"item": 6}', "key-6")
     reply = book(bench, b'{"item": 7}', "key-6")
     assert reply.status == 422 and reply.error["code"] == "idempotency_key_reused"
-    assert bench.desk.starts[booking_of(b'{"item": 7}')] == 0
+    assert bench.desk.starts[booking_number(b'{"item": 7}')] == 0
 
 
 def test_a_key_whose_work_was_not_run_can_be_used_again(bench: Bench) -> None:
@@ -208,7 +208,7 @@
     assert book(bench, b'{"item": 8}', "key-8").status == 502
     bench.desk.refuse = 0
     assert book(bench, b'{"item": 8}', "key-8").status == 200
-    assert bench.desk.starts[booking_of(b'{"item": 8}')] == 1
+    assert bench.desk.starts[booking_number(b'{"item": 8}')] == 1
 
 
 def test_while_the_log_is_down_keyed_work_is_not_run(bench: Bench) -> None:
@@ -217,7 +217,7 @@
     assert reply.status == 503
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
     assert "Retry-After" in reply.headers
-    assert bench.desk.starts[booking_of(b'{"item": 9}')] == 0
+    assert bench.desk.starts[booking_number(b'{"item": 9}')] == 0
     assert bench.call(b'{"item": 10}', path="/bookings/hold").status == 200
 
 
@@ -241,7 +241,7 @@
     for blocker in blockers:
         blocker.join(TIMEOUT)
     assert reply.status == 200
-    assert bench.desk.starts[booking_of(body)] == 1
+    assert bench.desk.starts[booking_number(body)] == 1
 
 
 def test_waiting_for_anothers_answer_holds_no_slot(bench: Bench) -> None:
@@ -254,4 +254,4 @@
         other = callers.submit(book, bench, b"other", "key-13")
         assert other.result(TIMEOUT).status == 200
         assert all(future.result(TIMEOUT).status == 200 for future in same)
-    assert bench.desk.starts[booking_of(b"same")] == 1
+    assert bench.desk.starts[booking_number(b"same")] == 1
--- a/tests/replay/test_failures.py
+++ b/tests/replay/test_failures.py
@@ -1,4 +1,4 @@
-"""Many nodes deciding together while nodes, zones and engines fail."""
+"""A cluster of nodes keeps serving while nodes, zones and engines fail."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 SECONDS = 20
 
 
-def three_zones() -> Catalog:
+def make_three_zone_catalog() -> Catalog:
     return make_catalog(
         e1={"slots": 4, "availability_zone": "nasr"},
         e2={"slots": 4, "availability_zone": "maadi"},
@@ -21,7 +21,7 @@
     )
 
 
-def arrivals(per_second: float = 4.0) -> list[Arrival]:
+def make_arrivals(per_second: float = 4.0) -> list[Arrival]:
     count = int(SECONDS * per_second)
     return [
         Arrival(
@@ -37,13 +37,15 @@
     ]
 
 
-def play(*faults: Fault, per_second: float = 4.0, nodes: int = 6) -> Cluster:
-    cluster = Cluster(three_zones(), ClusterOptions(Policy.OWNERS, nodes, seed=3))
-    cluster.play(arrivals(per_second), faults)
+def run_cluster(*faults: Fault, per_second: float = 4.0, nodes: int = 6) -> Cluster:
+    cluster = Cluster(
+        make_three_zone_catalog(), ClusterOptions(Policy.OWNERS, nodes, seed=3)
+    )
+    cluster.run(make_arrivals(per_second), faults)
     return cluster
 
 
-def owner_number(cluster: Cluster) -> int:
+def find_owner_number(cluster: Cluster) -> int:
     """Return the number of the node that owns the one pool."""
     node = cluster.nodes[0].scheduler
     assert isinstance(node, NodeCore)
@@ -51,31 +53,33 @@
     return next(item.number for item in cluster.nodes if item.scheduler.node == owner)
 
 
-OWNER = owner_number(Cluster(three_zones(), ClusterOptions(Policy.OWNERS, 6, 3)))
+OWNER = find_owner_number(
+    Cluster(make_three_zone_catalog(), ClusterOptions(Policy.OWNERS, 6, 3))
+)
 
 
-def fault(kind: str, target: str, at: float = 5, seconds: float = 5) -> Fault:
+def make_fault(kind: str, target: str, at: float = 5, seconds: float = 5) -> Fault:
     value = {"kind": kind, "at": at, "until": at + seconds, "target": target}
     return Fault.model_validate({**value, "factor": 5})
 
 
 FAULTS = {
-    "engine slow": fault("engine-slow", "e1"),
-    "engine crash": fault("engine-crash", "e2"),
-    "owner crash": fault("node-crash", str(OWNER)),
-    "entry crash": fault("node-crash", str((OWNER + 1) % 6)),
-    "owner pause": fault("node-pause", str(OWNER), seconds=3),
-    "zone cut": fault("zone-cut", "giza"),
-    "reports lag": fault("reports-lag", ""),
+    "engine slow": make_fault("engine-slow", "e1"),
+    "engine crash": make_fault("engine-crash", "e2"),
+    "owner crash": make_fault("node-crash", str(OWNER)),
+    "entry crash": make_fault("node-crash", str((OWNER + 1) % 6)),
+    "owner pause": make_fault("node-pause", str(OWNER), seconds=3),
+    "zone cut": make_fault("zone-cut", "giza"),
+    "reports lag": make_fault("reports-lag", ""),
 }
-PAIRS = [
+FAULT_PAIRS = [
     (first, second)
     for index, first in enumerate(sorted(FAULTS))
     for second in sorted(FAULTS)[index + 1 :]
 ]
 
 
-def check(cluster: Cluster) -> None:
+def check_outcomes(cluster: Cluster) -> None:
     for caller in cluster.callers:
         assert caller.outcome is not None, caller.arrival.id
         if caller.outcome is Outcome.NOT_RUN:
@@ -86,16 +90,16 @@
 
 @pytest.mark.parametrize("name", sorted(FAULTS))
 def test_one_fault(name: str) -> None:
-    check(play(FAULTS[name]))
+    check_outcomes(run_cluster(FAULTS[name]))
 
 
-@pytest.mark.parametrize(("first", "second"), PAIRS)
+@pytest.mark.parametrize(("first", "second"), FAULT_PAIRS)
 def test_two_faults_at_once(first: str, second: str) -> None:
-    check(play(FAULTS[first], FAULTS[second]))
+    check_outcomes(run_cluster(FAULTS[first], FAULTS[second]))
 
 
-def test_the_lost_owners_pool_is_taken_over() -> None:
-    cluster = play(fault("node-crash", str(OWNER), seconds=100_000))
+def test_the_pool_of_a_crashed_owner_is_taken_over() -> None:
+    cluster = run_cluster(make_fault("node-crash", str(OWNER), seconds=100_000))
     cores = [item.scheduler for item in cluster.nodes if item.up]
     owners = {
         core.view.owner_of("runner") for core in cores if isinstance(core, NodeCore)
@@ -104,8 +108,8 @@
     assert owners != {cluster.nodes[OWNER].scheduler.node}
 
 
-def test_a_broken_stream_goes_on_where_it_stopped() -> None:
-    cluster = play(fault("engine-crash", "e1", at=2.4), per_second=12)
+def test_a_broken_stream_resumes_where_it_stopped() -> None:
+    cluster = run_cluster(make_fault("engine-crash", "e1", at=2.4), per_second=12)
     resumed = [item for item in cluster.callers if item.state.attempts > 0]
     assert resumed
     assert all(item.outcome is Outcome.COMPLETED for item in resumed)
@@ -114,7 +118,7 @@
 
 
 def test_a_cut_off_zone_still_serves_its_own_callers() -> None:
-    cluster = play(fault("zone-cut", "giza", at=4, seconds=12))
+    cluster = run_cluster(make_fault("zone-cut", "giza", at=4, seconds=12))
     inside = [
         item
         for item in cluster.callers
@@ -124,10 +128,12 @@
     assert all(item.outcome is Outcome.COMPLETED for item in inside)
 
 
-def test_nobody_is_served_when_no_engine_is_up() -> None:
-    """The checks can fail: without engines nothing completes."""
-    faults = [fault("engine-crash", name, at=0, seconds=900) for name in ("e1", "e2")]
-    cluster = play(*faults, fault("engine-crash", "e3", at=0, seconds=900))
+def test_no_request_completes_when_no_engine_is_up() -> None:
+    """The check detects failures: without engines no request completes."""
+    faults = [
+        make_fault("engine-crash", name, at=0, seconds=900) for name in ("e1", "e2")
+    ]
+    cluster = run_cluster(*faults, make_fault("engine-crash", "e3", at=0, seconds=900))
     with pytest.raises(AssertionError):
-        check(cluster)
+        check_outcomes(cluster)
     assert all(item.outcome is not Outcome.COMPLETED for item in cluster.callers)
--- a/tests/replay/test_trace.py
+++ b/tests/replay/test_trace.py
@@ -11,7 +11,7 @@
 ARRIVAL = '{"type":"arrival","at":1,"id":"a","serviceClass":"x","team":"t"}'
 
 
-def test_what_is_written_reads_back(tmp_path: Path) -> None:
+def test_written_traces_are_read_back_unchanged(tmp_path: Path) -> None:
     lines = (
         Arrival(at=0.5, id="a", service_class="x", team="t", labels={"k": "v"}),
         Fault(at=1, until=2, kind="engine-slow", target="e1", factor=3),
@@ -30,7 +30,7 @@
         ("", "no arrivals"),
     ],
 )
-def test_bad_traces_name_their_place(tmp_path: Path, text: str, message: str) -> None:
+def test_errors_name_the_line_or_field(tmp_path: Path, text: str, message: str) -> None:
     path = tmp_path / "t.jsonl"
     path.write_text(text)
     with pytest.raises(TraceError, match=message):
