--- a/tests/gateway/test_responses.py
+++ b/tests/gateway/test_responses.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from rudderpass.membership import HostState
-from rudderpass.standins import LogFault, booking_of, mark_prompt, plan_answer
+from rudderpass.standins import LogFault, booking_number, mark_prompt, plan_answer
 from tests.gateway.conftest import TIMEOUT, TOKEN, Harness, Reply, chat
 
 
@@ -64,7 +64,7 @@
 
 def test_requests_to_a_desk_are_forwarded(harness: Harness) -> None:
     reply = harness.call(b'{"item": 1}', path="/bookings/hold")
-    assert reply.json == {"booking": booking_of(b'{"item": 1}')}
+    assert reply.json == {"booking": booking_number(b'{"item": 1}')}
     assert reply.headers["X-Rudderpass-Outcome"] == "completed"
 
 
@@ -72,14 +72,14 @@
     harness.desk.lose_answers = 1
     reply = harness.call(b'{"item": 2}', path="/bookings/hold")
     assert reply.headers["X-Rudderpass-Outcome"] == "unknown"
-    assert harness.desk.starts[booking_of(b'{"item": 2}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 2}')] == 1
 
 
 def test_a_booking_that_the_desk_refuses_is_retried(harness: Harness) -> None:
     harness.desk.refuse = 1
     reply = harness.call(b'{"item": 3}', path="/bookings/hold")
     assert reply.status == 200
-    assert harness.desk.starts[booking_of(b'{"item": 3}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 3}')] == 1
 
 
 def test_a_booking_that_is_always_refused_is_reported_as_not_run(
@@ -89,7 +89,7 @@
     reply = harness.call(b'{"item": 4}', path="/bookings/hold")
     assert reply.status == 502
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
-    assert harness.desk.starts[booking_of(b'{"item": 4}')] == 0
+    assert harness.desk.starts[booking_number(b'{"item": 4}')] == 0
 
 
 def test_a_stream_is_resumed_when_its_engine_crashes(harness: Harness) -> None:
@@ -195,18 +195,18 @@
                 lambda _: send_booking(harness, b'{"item": 5}', "key-5"), range(8)
             )
         )
-    expected = {"booking": booking_of(b'{"item": 5}')}
+    expected = {"booking": booking_number(b'{"item": 5}')}
     assert all(reply.json == expected for reply in replies)
     replayed = [reply for reply in replies if "X-Rudderpass-Replayed" in reply.headers]
     assert len(replayed) == 7
-    assert harness.desk.starts[booking_of(b'{"item": 5}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 5}')] == 1
 
 
 def test_a_key_used_with_another_body_is_refused(harness: Harness) -> None:
     send_booking(harness, b'{"item": 6}', "key-6")
     reply = send_booking(harness, b'{"item": 7}', "key-6")
     assert reply.status == 422 and reply.error["code"] == "idempotency_key_reused"
-    assert harness.desk.starts[booking_of(b'{"item": 7}')] == 0
+    assert harness.desk.starts[booking_number(b'{"item": 7}')] == 0
 
 
 def test_a_key_whose_request_was_not_executed_can_be_reused(harness: Harness) -> None:
@@ -214,7 +214,7 @@
     assert send_booking(harness, b'{"item": 8}', "key-8").status == 502
     harness.desk.refuse = 0
     assert send_booking(harness, b'{"item": 8}', "key-8").status == 200
-    assert harness.desk.starts[booking_of(b'{"item": 8}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 8}')] == 1
 
 
 def test_requests_with_a_key_are_not_executed_while_the_log_is_down(
@@ -225,7 +225,7 @@
     assert reply.status == 503
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
     assert "Retry-After" in reply.headers
-    assert harness.desk.starts[booking_of(b'{"item": 9}')] == 0
+    assert harness.desk.starts[booking_number(b'{"item": 9}')] == 0
     assert harness.call(b'{"item": 10}', path="/bookings/hold").status == 200
 
 
@@ -251,7 +251,7 @@
     for blocker in blockers:
         blocker.join(TIMEOUT)
     assert reply.status == 200
-    assert harness.desk.starts[booking_of(body)] == 1
+    assert harness.desk.starts[booking_number(body)] == 1
 
 
 def test_waiting_for_a_request_with_the_same_key_holds_no_slot(
@@ -268,4 +268,4 @@
         other = callers.submit(send_booking, harness, b"other", "key-13")
         assert other.result(TIMEOUT).status == 200
         assert all(future.result(TIMEOUT).status == 200 for future in same)
-    assert harness.desk.starts[booking_of(b"same")] == 1
+    assert harness.desk.starts[booking_number(b"same")] == 1
