--- a/src/rudderpass/bench/_slopes.py
+++ b/src/rudderpass/bench/_slopes.py
@@ -289,7 +289,7 @@
     server = PeerServer("127.0.0.1:0", keys, lambda *_: taken.release(), lambda _: None)
     server.start()
     sender = NodeId("127.0.0.1:1")
-    links = PeerLinks(sender, 1, keys, server.datagrams, lambda *_: None)
+    links = PeerLinks(sender, 1, keys, server.datagram_socket, lambda *_: None)
     began = time.process_time()
     for _ in range(count):
         links.send(server.node, Probe(1), reliable)
--- a/src/rudderpass/node/_runtime.py
+++ b/src/rudderpass/node/_runtime.py
@@ -50,7 +50,7 @@
         self._core = NodeCore(node, zone, incarnation % (1 << 38), random.Random())
         self._tickets: dict[RequestId, Ticket] = {}
         self._links = PeerLinks(
-            node, incarnation, keys, self._server.datagrams, self._note_call
+            node, incarnation, keys, self._server.datagram_socket, self._note_call
         )
         self._stopping = threading.Event()
         self._ticker = threading.Thread(target=self._tick, name="tick", daemon=True)
--- a/src/rudderpass/peers/__init__.py
+++ b/src/rudderpass/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Peers: signed batches of messages between nodes, over thrift."""
+"""Signed message batches between nodes, over thrift calls and UDP datagrams."""
 
 from rudderpass.peers._keys import (
     FixedKeys as FixedKeys,
--- a/src/rudderpass/peers/_decode.py
+++ b/src/rudderpass/peers/_decode.py
@@ -1,4 +1,4 @@
-"""Translate thrift structs to the core's peer messages."""
+"""Convert thrift structs to peer messages."""
 
 from __future__ import annotations
 
@@ -35,15 +35,16 @@
 
 
 def from_wire(message: wire.Message, now: float) -> PeerMessage:
-    """Return the core's message for a thrift union.
+    """Return the peer message in a thrift union.
 
-    :raises PeerError: when no known member is set.
+    :param now: the receiver's monotonic time, from which ages are converted to times.
+    :raises PeerError: when no known member is set or a field is missing or invalid.
     """
     for name, decode in _DECODERS.items():
         value = getattr(message, name)
         if value is not None:
             return _decode_value(decode, value, now)
-    raise PeerError("message of an unknown kind", step="decode")
+    raise PeerError("unknown message type", step="decode")
 
 
 def _decode_value(
@@ -52,7 +53,9 @@
     try:
         return decode(value, now)
     except (TypeError, ValueError) as error:
-        raise PeerError(f"message lacks a field: {error}", step="decode") from error
+        raise PeerError(
+            f"missing or invalid message field: {error}", step="decode"
+        ) from error
 
 
 def _unscale(value: int | None, factor: int) -> float:
--- a/src/rudderpass/peers/_encode.py
+++ b/src/rudderpass/peers/_encode.py
@@ -1,7 +1,7 @@
-"""Translate the core's peer messages to thrift structs and back.
+"""Convert peer messages to thrift structs.
 
-Hosts share no clock, so a time leaves as an age in seconds and comes back as a time
-on the receiver's clock. The flight time, well below a second, is lost.
+Hosts share no clock, so a time is sent as an age, which the receiver converts to a time
+on its own clock. The time on the network, well below a second, is not accounted for.
 """
 
 from __future__ import annotations
@@ -24,22 +24,25 @@
 )
 
 MILLI = 1_000
-"""Times below a second travel in milliseconds."""
+"""Units per second of times that are sent in milliseconds."""
 
 MICRO = 1_000_000
-"""Shares and gaps travel in millionths."""
+"""Shares are sent in parts per million, token gaps in microseconds."""
 
-_LARGEST = 2**31 - 1
+_MAX_I32 = 2**31 - 1
 
 
 def to_wire(message: PeerMessage, now: float) -> wire.Message:
-    """Return the thrift union for ``message``."""
+    """Return the thrift union for ``message``.
+
+    :param now: the sender's monotonic time, from which ages are computed.
+    """
     return _to_wire(message, now)
 
 
 @singledispatch
 def _to_wire(message: object, now: float) -> wire.Message:
-    raise TypeError(f"no wire form for {type(message).__name__}")
+    raise TypeError(f"no thrift struct for message type {type(message).__name__}")
 
 
 @_to_wire.register
@@ -149,25 +152,25 @@
 
 
 def _scale(value: float, factor: int) -> int | None:
-    """Return a number as a bounded integer, None for zero."""
-    return max(-_LARGEST, min(round(value * factor), _LARGEST)) or None
+    """Return a number as an integer clamped to 32 bits; None (unset) for zero."""
+    return max(-_MAX_I32, min(round(value * factor), _MAX_I32)) or None
 
 
-def _encode_reservation(work: Reservation, now: float) -> wire.Reserve:
+def _encode_reservation(reservation: Reservation, now: float) -> wire.Reserve:
     return wire.Reserve(
-        request_id=work.request_id,
-        pool=work.pool,
-        service_class=work.service_class,
-        tier=work.tier,
-        team=work.team,
-        age_ms=_scale(now - work.arrived, MILLI),
-        target_ms=_scale(work.start_target, MILLI),
-        max_wait_ms=_scale(work.max_wait, MILLI),
-        expected_tokens=_scale(work.expected_tokens, 1),
-        prefix_hash=work.prefix_hash or None,
-        upstreams=list(work.upstreams) or None,
-        zone=work.zone,
-        resumed=work.resumed or None,
-        floor_ppm=_scale(work.floor_share, MICRO),
-        gap_us=_scale(work.gap_target, MICRO),
+        request_id=reservation.request_id,
+        pool=reservation.pool,
+        service_class=reservation.service_class,
+        tier=reservation.tier,
+        team=reservation.team,
+        age_ms=_scale(now - reservation.arrived, MILLI),
+        target_ms=_scale(reservation.start_target, MILLI),
+        max_wait_ms=_scale(reservation.max_wait, MILLI),
+        expected_tokens=_scale(reservation.expected_tokens, 1),
+        prefix_hash=reservation.prefix_hash or None,
+        upstreams=list(reservation.upstreams) or None,
+        zone=reservation.zone,
+        resumed=reservation.resumed or None,
+        floor_ppm=_scale(reservation.floor_share, MICRO),
+        gap_us=_scale(reservation.gap_target, MICRO),
     )
--- a/src/rudderpass/peers/_frames.py
+++ b/src/rudderpass/peers/_frames.py
@@ -1,4 +1,4 @@
-"""Batches as bytes: thrift structs in the compact protocol."""
+"""Serialize batches with thrift's compact protocol."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 def encode_batch(batch: wire.Batch) -> bytes:
-    """Return a batch's bytes in the compact protocol."""
+    """Serialize a batch; the result is what is signed."""
     return encode_struct(batch)
 
 
 def decode_batch(payload: bytes) -> wire.Batch:
-    """Return the batch in ``payload``.
+    """Deserialize a batch.
 
-    :raises PeerError: when the bytes are not a batch.
+    :raises PeerError: when ``payload`` is not a batch.
     """
     return decode_struct(wire.Batch(), payload)
 
 
 def encode_signed(batch: wire.SignedBatch) -> bytes:
-    """Return a signed batch's bytes for a datagram."""
+    """Serialize a signed batch for a datagram."""
     return encode_struct(batch)
 
 
 def decode_signed(data: bytes) -> wire.SignedBatch:
-    """Return the signed batch in a datagram.
+    """Deserialize the signed batch in a datagram.
 
-    :raises PeerError: when the bytes are not one.
+    :raises PeerError: when ``data`` is not a signed batch.
     """
     return decode_struct(wire.SignedBatch(), data)
--- a/src/rudderpass/peers/_keys.py
+++ b/src/rudderpass/peers/_keys.py
@@ -1,7 +1,7 @@
-"""The deployment's secrets: who may speak to a node.
+"""Shared secrets that authenticate messages between nodes.
 
 Every batch is signed with HMAC-SHA256. A node signs with the first secret and
-accepts any of them, so a secret is rotated by adding the new one behind the old
+accepts any of them, so a secret is rotated by adding the new one after the old
 on all nodes, then moving it to the front, then removing the old one.
 """
 
@@ -18,9 +18,9 @@
 
 
 class PeerKeys:
-    """Signs with the first secret and accepts any.
+    """Signs with the first secret and verifies against all of them.
 
-    :param secrets: the secrets, newest in use first.
+    :param secrets: the secrets; the first one signs.
 
     .. versionadded:: 0.1
     """
@@ -38,7 +38,7 @@
         return _mac(self._secrets[0], payload)
 
     def verify(self, payload: bytes, mac: bytes) -> bool:
-        """Tell whether one of the secrets made ``mac``."""
+        """Return whether ``mac`` was made with one of the secrets."""
         return any(
             hmac.compare_digest(_mac(secret, payload), mac) for secret in self._secrets
         )
@@ -50,21 +50,21 @@
 
 
 class PeerKeyFile:
-    """Secrets in a file, one a line, read again when the file changes.
+    """Secrets in a file, one per line, read again when the file changes.
 
     .. versionadded:: 0.1
     """
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._stamp: tuple[int, int] | None = None
+        self._file_version: tuple[int, int] | None = None
         self._keys = self._read()
 
     def current(self) -> PeerKeys:
-        """Return the keys now in the file; the last good ones if it is broken."""
+        """Return the keys in the file; the last valid ones if reading it fails."""
         try:
             stat = self._path.stat()
-            if (stat.st_mtime_ns, stat.st_size) != self._stamp:
+            if (stat.st_mtime_ns, stat.st_size) != self._file_version:
                 self._keys = self._read()
         except (OSError, SettingsError):
             pass
@@ -74,12 +74,12 @@
         stat = self._path.stat()
         lines = self._path.read_bytes().splitlines()
         keys = PeerKeys(tuple(line.strip() for line in lines if line.strip()))
-        self._stamp = (stat.st_mtime_ns, stat.st_size)
+        self._file_version = (stat.st_mtime_ns, stat.st_size)
         return keys
 
 
 class FixedKeys:
-    """Secrets from a setting, the same as long as the process runs.
+    """Secrets from a setting, constant for the life of the process.
 
     .. versionadded:: 0.1
     """
--- a/src/rudderpass/peers/_link.py
+++ b/src/rudderpass/peers/_link.py
@@ -1,7 +1,7 @@
-"""Outgoing messages: one call at a time to each peer, with all that waits for it.
+"""Send messages to peers in batches, with at most one call in flight per peer.
 
-Messages that arrive while a call is in flight go together in the next one, so the
-number of calls falls as load grows.
+Messages queued while a call is in flight are sent together in the next one, so the
+number of calls per message falls as load grows.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 MAX_DATAGRAM_BYTES = 1200
-"""Fits one packet on every path; larger batches go as calls."""
+"""Fits into one packet on every path; larger batches are sent as calls."""
 
 _CALL_TIMEOUT_MS = 1000
-_MAX_BATCH = 512
-_MAX_QUEUED = 20_000
-_WORKERS = 16
-_DATAGRAM_BYTES = 28
-"""UDP and IP headers."""
+_MAX_BATCH_MESSAGES = 512
+_MAX_QUEUED_MESSAGES = 20_000
+_MAX_WORKERS = 16
+_DATAGRAM_OVERHEAD_BYTES = 28
+"""UDP and IP headers of a datagram."""
 
-_CALL_BYTES = 4 + 30 + 30 + 80
-"""Frame, call, answer, and the TCP and IP headers of both."""
+_CALL_OVERHEAD_BYTES = 4 + 30 + 30 + 80
+"""Frame header, call, reply, and the TCP and IP headers of both directions."""
 
 
 @dataclass
 class LinkCounters:
-    """What left this node for its peers."""
+    """Counts of what this node sent to its peers."""
 
     calls: int = 0
     datagrams: int = 0
@@ -56,21 +56,21 @@
 
 @dataclass
 class _PeerQueue:
-    """Messages for one peer, and whether a call is in flight."""
+    """Messages for one peer, its connection, and whether a call is in flight."""
 
-    waiting: deque[PeerMessage] = field(default_factory=deque)
-    busy: bool = False
+    pending: deque[PeerMessage] = field(default_factory=deque)
+    in_flight: bool = False
     client: Peer.Client | None = None
 
 
 class PeerLinks:
-    """Sends messages to peers and reports which peers answered.
+    """Sends messages to peers and reports the result of each call.
 
-    :param node: this node, the sender.
-    :param incarnation: differs at each start of the node.
+    :param node: this node's id, the sender of all batches.
+    :param incarnation: increases with each start of the node.
     :param keys: signs the batches.
-    :param datagrams: sends what may be lost.
-    :param on_result: called with the peer and whether its call succeeded.
+    :param datagram_socket: sends messages that may be lost.
+    :param on_result: called with the peer and whether the call to it succeeded.
 
     .. versionadded:: 0.1
     """
@@ -80,7 +80,7 @@
         node: NodeId,
         incarnation: int,
         keys: KeySource,
-        datagrams: socket.socket,
+        datagram_socket: socket.socket,
         on_result: Callable[[NodeId, bool], None],
     ) -> None:
         self._node = node
@@ -90,15 +90,17 @@
         self._lock = threading.Lock()
         self._queues: dict[NodeId, _PeerQueue] = {}
         self._sequence = itertools.count(1)
-        self._pool = ThreadPoolExecutor(_WORKERS, thread_name_prefix="peer-link")
+        self._executor = ThreadPoolExecutor(
+            _MAX_WORKERS, thread_name_prefix="peer-link"
+        )
         self._closed = False
-        self._datagrams = datagrams
+        self._datagram_socket = datagram_socket
         self.counters = LinkCounters()
 
     def send(self, peer: NodeId, message: PeerMessage, reliable: bool = True) -> None:
-        """Send a message, as a datagram if it is small and may be lost.
+        """Send a message, as a datagram if it is small enough and may be lost.
 
-        A reliable one is queued and leaves with the next call to the peer.
+        Otherwise it is queued and sent with the next call to the peer.
         """
         if not reliable and self._send_datagram(peer, message):
             return
@@ -106,28 +108,28 @@
             if self._closed:
                 return
             queue = self._queues.setdefault(peer, _PeerQueue())
-            if len(queue.waiting) >= _MAX_QUEUED:
+            if len(queue.pending) >= _MAX_QUEUED_MESSAGES:
                 self.counters.dropped += 1
                 return
-            queue.waiting.append(message)
-            if queue.busy:
+            queue.pending.append(message)
+            if queue.in_flight:
                 return
-            queue.busy = True
-        self._pool.submit(self._call, peer, queue)
+            queue.in_flight = True
+        self._executor.submit(self._send_pending, peer, queue)
 
     def close(self, timeout: float = 2.0) -> None:
-        """Send what waits, for at most ``timeout`` seconds, then stop."""
+        """Send queued messages for at most ``timeout`` seconds, then stop."""
         deadline = time.monotonic() + timeout
-        while time.monotonic() < deadline and self._has_waiting():
+        while time.monotonic() < deadline and self._has_pending():
             time.sleep(0.01)
         with self._lock:
             self._closed = True
-        self._pool.shutdown(wait=False, cancel_futures=True)
+        self._executor.shutdown(wait=False, cancel_futures=True)
         for queue in self._queues.values():
             _disconnect(queue)
 
     def _send_datagram(self, peer: NodeId, message: PeerMessage) -> bool:
-        """Send one message by itself; tell whether it was small enough."""
+        """Send one message as a datagram; return False if it is too large for one."""
         with self._lock:
             batch = self._sign(peer, [message])
         data = encode_signed(batch)
@@ -135,27 +137,29 @@
             return False
         self.counters.datagrams += 1
         try:
-            self._datagrams.sendto(data, _address_of(peer))
+            self._datagram_socket.sendto(data, _address_of(peer))
         except OSError:
             self.counters.dropped += 1
         return True
 
-    def _has_waiting(self) -> bool:
+    def _has_pending(self) -> bool:
         with self._lock:
-            return any(queue.waiting or queue.busy for queue in self._queues.values())
+            return any(
+                queue.pending or queue.in_flight for queue in self._queues.values()
+            )
 
-    def _call(self, peer: NodeId, queue: _PeerQueue) -> None:
+    def _send_pending(self, peer: NodeId, queue: _PeerQueue) -> None:
         while True:
             with self._lock:
-                if not queue.waiting or self._closed:
-                    queue.busy = False
+                if not queue.pending or self._closed:
+                    queue.in_flight = False
                     return
-                count = min(_MAX_BATCH, len(queue.waiting))
-                messages = [queue.waiting.popleft() for _ in range(count)]
+                count = min(_MAX_BATCH_MESSAGES, len(queue.pending))
+                messages = [queue.pending.popleft() for _ in range(count)]
             succeeded = self._deliver(peer, queue, messages)
             if not succeeded:
                 with self._lock:
-                    queue.waiting.clear()
+                    queue.pending.clear()
             self._on_result(peer, succeeded)
 
     def _deliver(
@@ -175,10 +179,10 @@
         return True
 
     def _retry(self, peer: NodeId, queue: _PeerQueue, batch: wire.SignedBatch) -> bool:
-        """Try once more on a new connection: the peer may have closed the old one.
+        """Retry once on a new connection, since the peer may have closed the old one.
 
-        Receivers drop a sequence number that they have seen, so a batch whose
-        answer was lost is not taken twice.
+        Receivers drop sequence numbers that they have seen, so a batch whose reply
+        was lost is not processed twice.
         """
         try:
             self._send_batch(peer, queue, batch)
@@ -211,15 +215,15 @@
 
 
 def measure_batch(message: PeerMessage, reliable: bool, now: float) -> int:
-    """Return the bytes of a batch of one message as it is sent, headers included."""
+    """Return the size in bytes of a one-message batch on the wire, headers included."""
     batch = wire.Batch(
         "10.0.0.1:7000", 1 << 40, 1, "10.0.0.2:7000", [to_wire(message, now)]
     )
     payload = encode_batch(batch)
     signed = encode_signed(wire.SignedBatch(payload=payload, mac=bytes(MAC_BYTES)))
     if reliable or len(signed) > MAX_DATAGRAM_BYTES:
-        return len(signed) + _CALL_BYTES
-    return len(signed) + _DATAGRAM_BYTES
+        return len(signed) + _CALL_OVERHEAD_BYTES
+    return len(signed) + _DATAGRAM_OVERHEAD_BYTES
 
 
 def _address_of(peer: NodeId) -> tuple[str, int]:
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real hosts as processes, and faults from outside them."""
+"""A randomized soak test: hosts as processes, with faults injected from outside."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play seeds by hand: ``python -m tests.soak --seeds 50 --jobs 4``."""
+"""Run soak seeds by hand: ``python -m tests.soak --seeds 50 --jobs 4``."""
 
 from __future__ import annotations
 
@@ -10,37 +10,43 @@
 
 import click
 
-from tests.soak.soak import Verdict, play
+from tests.soak.soak import SoakResult, run_seed
 
 
-def _play_in(folder: Path, has_fatal: bool, seed: int) -> Verdict:
-    return play(seed, folder / str(seed), has_fatal=has_fatal)
+def _run_seed_in(folder: Path, has_fatal_bodies: bool, seed: int) -> SoakResult:
+    return run_seed(seed, folder / str(seed), has_fatal_bodies=has_fatal_bodies)
 
 
 @click.command()
-@click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--seeds", default=10, show_default=True, help="How many seeds.")
-@click.option("--jobs", default=4, show_default=True, help="Seeds at a time.")
+@click.option("--first", default=1, show_default=True, help="First seed.")
+@click.option("--seeds", default=10, show_default=True, help="Number of seeds.")
+@click.option(
+    "--jobs", default=4, show_default=True, help="Number of seeds run in parallel."
+)
 @click.option(
     "--folder",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Where the hosts' logs are left; a new folder by default.",
+    help="Folder for the hosts' logs; a new temporary one by default.",
+)
+@click.option(
+    "--fatal", is_flag=True, help="Also send request bodies that crash engines."
 )
-@click.option("--fatal", is_flag=True, help="With bodies that crash engines.")
 def main(first: int, seeds: int, jobs: int, folder: Path | None, fatal: bool) -> None:
-    """Play seeds and print what broke."""
+    """Run seeds and print the violations."""
     folder = folder or Path(tempfile.mkdtemp(prefix="rudderpass-soak-"))
-    broken = 0
+    failed_seeds = 0
     with ProcessPoolExecutor(jobs) as executor:
-        numbers = range(first, first + seeds)
-        for verdict in executor.map(partial(_play_in, folder, fatal), numbers):
-            broken += bool(verdict.breaches)
-            told = ", ".join(f"{s}: {n}" for s, n in sorted(verdict.statuses.items()))
-            click.echo(f"seed {verdict.seed}: {len(verdict.breaches)} breaches; {told}")
-            for breach in verdict.breaches[:10]:
-                click.echo(f"  {breach}")
-    click.echo(f"{broken} of {seeds} seeds with a breach; logs in {folder}")
-    sys.exit(1 if broken else 0)
+        seed_range = range(first, first + seeds)
+        for result in executor.map(partial(_run_seed_in, folder, fatal), seed_range):
+            failed_seeds += bool(result.violations)
+            counts = ", ".join(f"{s}: {n}" for s, n in sorted(result.statuses.items()))
+            click.echo(
+                f"seed {result.seed}: {len(result.violations)} violations; {counts}"
+            )
+            for violation in result.violations[:10]:
+                click.echo(f"  {violation}")
+    click.echo(f"{failed_seeds} of {seeds} seeds with a violation; logs in {folder}")
+    sys.exit(1 if failed_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep asking, and check each answer against what upstreams ran."""
+"""Callers that send requests continuously and check responses against upstream runs."""
 
 from __future__ import annotations
 
@@ -8,144 +8,152 @@
 import time
 from dataclasses import dataclass, field
 
-from tests.soak.deployment import KEY, MAX_ATTEMPTS, SITE, TEAM, SoakDeployment
-from tests.soak.upstreams import answer_of, digest_of, events_of
+from tests.soak.deployment import (
+    API_KEY,
+    MAX_ATTEMPTS,
+    TEAM,
+    VIRTUAL_HOST,
+    SoakDeployment,
+)
+from tests.soak.upstreams import digest_of, event_count_of, response_body_of
 
-CALLERS_EACH = 3
-"""Threads that ask each host, one request at a time."""
+CALLERS_PER_HOST = 3
+"""Caller threads per host; each sends one request at a time."""
 
 PAUSE_SECONDS = 0.03
 DEADLINE_MS = 2500
-PATIENCE_SECONDS = 4.0
-ANSWER_SLACK_SECONDS = 0.6
-"""How long after its time limit a request may wait for its final answer."""
+CLIENT_TIMEOUT_SECONDS = 4.0
+RESPONSE_SLACK_SECONDS = 0.6
+"""How long after its deadline a request may wait for the end of its response."""
 
-PROMISES = (408, 421, 429, 503)
-"""Statuses that promise that the request has not run and never will."""
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+"""Statuses that guarantee that the request has not run and never will."""
 
 POPULAR_BODY = b"a body that many ask for"
 POPULAR_SHARE = 0.3
 
 ROUTES = ("plan", "quote", "book", "look")
-_TOKENS = "0a1b:300,{own}:900"
+_PROMPT_PREFIX = "0a1b:300,{own}:900"
 
 
-def subject_of(body: bytes) -> str:
-    """Return what a body that is asked for again and again is about."""
+def resource_of(body: bytes) -> str:
+    """Return the path segment of all requests with a repeated body."""
     return digest_of(body)[:8]
 
 
-def target_of(route: str, subject: str) -> str:
-    """Return the path and query of a request."""
-    return f"/{route}/{subject}?q=%2F"
+def make_target(route: str, resource: str) -> str:
+    """Return the request target: path and query."""
+    return f"/{route}/{resource}?q=%2F"
 
 
 @dataclass
 class Attempt:
-    """One request as its caller saw it.
+    """One request as observed by its caller.
 
-    :ivar status: 0 where the connection ended without a whole head.
-    :ivar is_whole: whether the answer's body came to its end.
+    :ivar status: 0 if the connection ended before a complete response head.
+    :ivar is_complete: whether the response body was received completely.
     """
 
     request_id: str
     route: str
     host: str
     incarnation: int
-    line: str
+    request_line: str
     digest: str
-    began: float
+    started: float
     ended: float = 0.0
     status: int = 0
-    is_whole: bool = False
-    is_refused_connection: bool = False
+    is_complete: bool = False
+    is_connection_refused: bool = False
     body: bytes = b""
 
 
 @dataclass
 class Callers:
-    """All callers of one seed, and what they found wrong.
+    """All callers of one seed, and the violations they found.
 
-    :param has_popular: whether many of them ask for one body.
+    :param has_popular_body: whether a share of the requests has one common body.
     """
 
     deployment: SoakDeployment
     seed: int
-    has_popular: bool = False
+    has_popular_body: bool = False
     stopping: threading.Event = field(default_factory=threading.Event)
     attempts: list[Attempt] = field(default_factory=list)
-    breaches: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def start(self) -> None:
-        """Begin to ask every host."""
+        """Start the caller threads of every host."""
         self._threads = [
-            threading.Thread(target=self._call, args=(host, number), daemon=True)
+            threading.Thread(target=self._run_caller, args=(host, number), daemon=True)
             for host in range(len(self.deployment.hosts))
-            for number in range(CALLERS_EACH)
+            for number in range(CALLERS_PER_HOST)
         ]
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End, once every request has its answer."""
+        """Stop sending, and wait for the responses in flight."""
         self.stopping.set()
         for thread in self._threads:
-            thread.join(2 * PATIENCE_SECONDS)
+            thread.join(2 * CLIENT_TIMEOUT_SECONDS)
             if thread.is_alive():
-                self.breaches.append("HANG: a request got neither answer nor end")
+                self.violations.append(
+                    "HANG: a request got neither a response nor a closed connection"
+                )
 
-    def ask(
-        self, host: int, route: str, name: str, body: bytes | None = None
+    def send(
+        self, host: int, route: str, request_id: str, body: bytes | None = None
     ) -> Attempt:
-        """Send one request on a connection of its own.
+        """Send one request on its own connection.
 
-        :param body: one that is asked for again and again, always with the same path;
-            by default each request has a path and a body of its own.
+        :param body: a body sent repeatedly, always with the same path; by default
+            each request has a path and a body of its own.
         """
         connection = self._connect(host)
         try:
-            return self._ask(connection, host, route, name, body)
+            return self._send(connection, host, route, request_id, body)
         finally:
             connection.close()
 
     def _connect(self, host: int) -> http.client.HTTPConnection:
-        address, port = self.deployment.hosts[host].front
-        return http.client.HTTPConnection(address, port, timeout=PATIENCE_SECONDS)
+        address, port = self.deployment.hosts[host].front_address
+        return http.client.HTTPConnection(address, port, timeout=CLIENT_TIMEOUT_SECONDS)
 
-    def _call(self, host: int, number: int) -> None:
+    def _run_caller(self, host: int, number: int) -> None:
         rng = random.Random(f"{self.seed} {host} {number}")
         connection = self._connect(host)
         count = 0
         while not self.stopping.is_set():
             count += 1
-            name = f"r{host}{number}x{count}"
+            request_id = f"r{host}{number}x{count}"
             route = rng.choice(ROUTES)
-            is_popular = self.has_popular and route == "plan"
+            is_popular = self.has_popular_body and route == "plan"
             is_popular = is_popular and rng.random() < POPULAR_SHARE
             body = POPULAR_BODY if is_popular else None
-            attempt = self._ask(connection, host, route, name, body)
+            attempt = self._send(connection, host, route, request_id, body)
             self.attempts.append(attempt)
-            # An open connection is used until the host or a failure ends it.
-            if not attempt.is_whole or rng.random() < 0.1:
+            # Connections are reused until the host or a failure closes them.
+            if not attempt.is_complete or rng.random() < 0.1:
                 connection.close()
                 connection = self._connect(host)
             time.sleep(PAUSE_SECONDS)
         connection.close()
 
-    def _ask(
+    def _send(
         self,
         connection: http.client.HTTPConnection,
         host: int,
         route: str,
-        name: str,
+        request_id: str,
         shared_body: bytes | None = None,
     ) -> Attempt:
         process = self.deployment.hosts[host]
-        subject = name if shared_body is None else subject_of(shared_body)
-        body = shared_body or f"body of {name}".encode()
-        target = target_of(route, subject)
+        resource = request_id if shared_body is None else resource_of(shared_body)
+        body = shared_body or f"body of {request_id}".encode()
+        target = make_target(route, resource)
         attempt = Attempt(
-            name,
+            request_id,
             route,
             process.name,
             process.incarnation,
@@ -154,47 +162,52 @@
             time.monotonic(),
         )
         headers = {
-            "Host": SITE,
-            "X-Request-Id": name,
-            "X-Credential": KEY,
+            "Host": VIRTUAL_HOST,
+            "X-Request-Id": request_id,
+            "X-Credential": API_KEY,
             "X-Deadline-Ms": str(DEADLINE_MS),
         }
         if route in ("plan", "quote"):
-            own = digest_of(subject.encode())[:8]
-            headers["X-Prompt-Prefix"] = _TOKENS.format(own=own)
+            own = digest_of(resource.encode())[:8]
+            headers["X-Prompt-Prefix"] = _PROMPT_PREFIX.format(own=own)
             headers["X-Token-Count"] = "1200,80"
         try:
             connection.request("POST", target, body, headers)
-            reply = connection.getresponse()
-            attempt.status = reply.status
-            attempt.body = reply.read()
-            attempt.is_whole = True
-            self._check_head(attempt, reply)
+            response = connection.getresponse()
+            attempt.status = response.status
+            attempt.body = response.read()
+            attempt.is_complete = True
+            self._check_head(attempt, response)
         except http.client.IncompleteRead as error:
             attempt.body = error.partial
         except ConnectionRefusedError:
-            attempt.is_refused_connection = True
+            attempt.is_connection_refused = True
         except (OSError, http.client.HTTPException):
-            pass  # The host was killed, or its time ran out: judged by the rest.
+            pass  # The host was killed, or the time limit passed; check() decides.
         attempt.ended = time.monotonic()
         return attempt
 
-    def _check_head(self, attempt: Attempt, reply: http.client.HTTPResponse) -> None:
-        proof = reply.headers.get("X-Response-Signature")
-        if attempt.status == 200 and proof is None:
-            self._break(attempt, "a success without proof")
-        if proof is not None and not proof.endswith(f".{attempt.request_id}"):
-            self._break(attempt, f"another request's proof {proof}")
-        if attempt.status in PROMISES and "Retry-After" not in reply.headers:
-            self._break(attempt, "a refusal without a time to come back")
-
-    def _break(self, attempt: Attempt, what: str) -> None:
-        self.breaches.append(
-            f"{attempt.request_id} on {attempt.route} at {attempt.host}: {what}"
+    def _check_head(self, attempt: Attempt, response: http.client.HTTPResponse) -> None:
+        signature = response.headers.get("X-Response-Signature")
+        if attempt.status == 200 and signature is None:
+            self._add_violation(attempt, "200 without X-Response-Signature")
+        if signature is not None and not signature.endswith(f".{attempt.request_id}"):
+            self._add_violation(
+                attempt, f"X-Response-Signature of another request: {signature}"
+            )
+        if (
+            attempt.status in NOT_EXECUTED_STATUSES
+            and "Retry-After" not in response.headers
+        ):
+            self._add_violation(attempt, "a refusal without Retry-After")
+
+    def _add_violation(self, attempt: Attempt, description: str) -> None:
+        self.violations.append(
+            f"{attempt.request_id} on {attempt.route} at {attempt.host}: {description}"
         )
 
     def check(self) -> None:
-        """Check every attempt; to be called when all is over."""
+        """Check every attempt, once all requests have ended."""
         for attempt in self.attempts:
             self._check_answer(attempt)
             self._check_runs(attempt)
@@ -202,42 +215,53 @@
 
     def _check_answer(self, attempt: Attempt) -> None:
         if attempt.status in (400, 401, 404, 413, 431):
-            self._break(attempt, f"a proper request got {attempt.status}")
+            self._add_violation(attempt, f"a valid request got {attempt.status}")
         if attempt.status != 200:
             return
         if attempt.route in ("plan", "quote"):
             self._check_events(attempt)
-        elif attempt.is_whole and attempt.body != answer_of(attempt.request_id):
-            self._break(attempt, f"wrong bytes {attempt.body[:60]!r}")
+        elif attempt.is_complete and attempt.body != response_body_of(
+            attempt.request_id
+        ):
+            self._add_violation(attempt, f"wrong response body {attempt.body[:60]!r}")
 
     def _check_events(self, attempt: Attempt) -> None:
-        last = events_of(attempt.request_id)
-        whole = b"".join(
-            f"id: {n}\ndata: {attempt.request_id} {n}/{last}\n\n".encode()
-            for n in range(1, last + 1)
+        event_count = event_count_of(attempt.request_id)
+        expected = b"".join(
+            f"id: {n}\ndata: {attempt.request_id} {n}/{event_count}\n\n".encode()
+            for n in range(1, event_count + 1)
         )
-        if attempt.is_whole and attempt.body != whole:
-            self._break(attempt, f"a wrong or cut stream looks whole, of {last} events")
-        if not whole.startswith(attempt.body):
-            self._break(attempt, "events are missing, double or out of place")
+        if attempt.is_complete and attempt.body != expected:
+            self._add_violation(
+                attempt,
+                f"a wrong or truncated stream of {event_count} events ended normally",
+            )
+        if not expected.startswith(attempt.body):
+            self._add_violation(
+                attempt, "events are missing, duplicated or out of order"
+            )
 
     def _check_runs(self, attempt: Attempt) -> None:
-        runs = self.deployment.book.of(attempt.request_id)
-        is_once = attempt.route in ("book", "quote")
-        if len(runs) > (1 if is_once else MAX_ATTEMPTS):
-            self._break(attempt, f"ran {len(runs)} times")
-        if is_once and runs and attempt.status in PROMISES:
-            self._break(attempt, f"{attempt.status} though it ran")
+        runs = self.deployment.run_tracker.runs_of(attempt.request_id)
+        is_at_most_once = attempt.route in ("book", "quote")
+        if len(runs) > (1 if is_at_most_once else MAX_ATTEMPTS):
+            self._add_violation(attempt, f"ran {len(runs)} times")
+        if is_at_most_once and runs and attempt.status in NOT_EXECUTED_STATUSES:
+            self._add_violation(attempt, f"{attempt.status} though it ran")
         for run in runs:
-            if (run.line, run.digest) != (attempt.line, attempt.digest):
-                self._break(attempt, f"ran as {run.line}")
+            if (run.request_line, run.digest) != (attempt.request_line, attempt.digest):
+                self._add_violation(attempt, f"ran as {run.request_line}")
             if run.team != TEAM or run.has_key:
-                self._break(attempt, f"ran for team {run.team!r}, key {run.has_key}")
+                self._add_violation(
+                    attempt, f"ran for team {run.team!r}, key {run.has_key}"
+                )
             if run.deadline_ms > DEADLINE_MS:
-                self._break(attempt, f"was given {run.deadline_ms} ms")
+                self._add_violation(
+                    attempt, f"was given a deadline of {run.deadline_ms} ms"
+                )
 
     def _check_time(self, attempt: Attempt) -> None:
-        limit = DEADLINE_MS / 1000 + ANSWER_SLACK_SECONDS
-        if attempt.is_whole and attempt.ended - attempt.began > limit:
-            took = attempt.ended - attempt.began
-            self._break(attempt, f"its answer took {took:.2f} s")
+        limit = DEADLINE_MS / 1000 + RESPONSE_SLACK_SECONDS
+        if attempt.is_complete and attempt.ended - attempt.started > limit:
+            took = attempt.ended - attempt.started
+            self._add_violation(attempt, f"its response took {took:.2f} s")
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment: real hosts as processes, a store, upstreams, and links."""
+"""A small deployment: host processes, a store, upstreams, and proxied links."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from tests.platform.cloud import CloudStand
 from tests.platform.store import StandInStore
 from tests.soak.proxy import LinkFault, Proxy
-from tests.soak.upstreams import RunBook, SoakUpstream
+from tests.soak.upstreams import RunTracker, SoakUpstream
 
-HOSTS = 3
-ENGINES = 3
-DESKS = 2
+HOST_COUNT = 3
+ENGINE_COUNT = 3
+DESK_COUNT = 2
 TEAM = "crew"
-KEY = "soak-key"
-SITE = "soak.example"
+API_KEY = "soak-key"
+VIRTUAL_HOST = "soak.example"
 MAX_ATTEMPTS = 2
 GRACE_SECONDS = 4.0
-RETRIES = BudgetRule(ratio=0.2, slack=20, window=10.0)
-"""The allowance for further sends of a service: the users' ratio, and a fixed part in
-proportion to the number of hosts (they have 54 for seven)."""
+RETRY_BUDGET = BudgetRule(ratio=0.2, slack=20, window=10.0)
+"""Retry budget of a service: the users' ratio, and a fixed part in proportion to the
+number of hosts (users have 54 for seven hosts)."""
 
-START_SECONDS = 10.0
-"""Until hosts must be ready; loading takes 0.3 s each when the machine is idle."""
+START_TIMEOUT_SECONDS = 10.0
+"""Time limit for hosts to become ready; each loads in 0.3 s on an idle machine."""
 
-RESTART_SECONDS = 1.5
-LAPSE_SECONDS = 3.0
-"""After a crash: until the engine is back under a new id, and its entry lapses."""
+ENGINE_RESTART_SECONDS = 1.5
+ENTRY_EXPIRY_SECONDS = 3.0
+"""After a crash, the engine restarts under a new id and later its old entry expires."""
 
 _FRONT_PORT, _READY_PORT, _PEER_PORT = 7801, 7802, 7803
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 node = "{name}"
 ip = "{ip}"
 zone = "{zone}"
@@ -75,7 +75,7 @@
 
 @dataclass
 class HostProcess:
-    """One host: its process, its settings, and the links that lead from and to it.
+    """One host: its process, settings, and links to the store and the cloud API.
 
     :ivar ready_checks: when the process of each incarnation started.
     """
@@ -91,8 +91,8 @@
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     @property
-    def front(self) -> tuple[str, int]:
-        """Where callers reach the host."""
+    def front_address(self) -> tuple[str, int]:
+        """The address at which callers reach the host."""
         return self.ip, _FRONT_PORT
 
     @property
@@ -100,7 +100,7 @@
         return self.process is not None and self.process.poll() is None
 
     def write_settings(self, seeds: list[str], bootstrap: bool) -> None:
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             name=self.name,
             ip=self.ip,
             zone=self.zone,
@@ -110,16 +110,16 @@
             front=_FRONT_PORT,
             ready=_READY_PORT,
             grace=GRACE_SECONDS,
-            retry_ratio=RETRIES.ratio,
-            retry_window=RETRIES.window,
-            retry_slack=RETRIES.slack,
+            retry_ratio=RETRY_BUDGET.ratio,
+            retry_window=RETRY_BUDGET.window,
+            retry_slack=RETRY_BUDGET.slack,
             store=self.store_link.address,
             cloud=self.cloud_link.address,
         )
         (self.folder / "settings.toml").write_text(text)
 
     def start(self) -> None:
-        """Start the real program; its output is kept for whoever traces a failure."""
+        """Start the host program; its output is kept in log.jsonl for debugging."""
         with self.lock:
             if self.is_running:
                 return
@@ -137,14 +137,14 @@
                     stderr=output,
                 )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to this host's process, if it runs."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to this host's process if it is running."""
         with self.lock:
             if self.process is not None and self.is_running:
                 self.process.send_signal(number)
 
     def wait(self, seconds: float) -> bool:
-        """Wait for the process to end; tell whether it did."""
+        """Wait for the process to end; return whether it did."""
         if self.process is None:
             return True
         try:
@@ -154,7 +154,7 @@
         return True
 
     def is_ready(self) -> bool:
-        """Ask as the balancer does."""
+        """Query the readiness endpoint as the load balancer does."""
         try:
             with socket.create_connection((self.ip, _READY_PORT), 0.5) as sock:
                 sock.settimeout(0.5)
@@ -166,40 +166,42 @@
 
 @dataclass(frozen=True)
 class EngineCrash:
-    """An engine that crashed.
+    """One engine crash.
 
-    :param is_by_body: whether a fatal body did it.
+    :param is_caused_by_body: whether a fatal body caused it.
     """
 
     upstream: str
     at: float
-    is_by_body: bool
+    is_caused_by_body: bool
 
 
 class SoakDeployment:
-    """Everything that one seed plays with.
+    """All processes, links and stand-ins of one seed.
 
-    :param folder: settings and logs of the hosts.
-    :ivar crashes: the engines that a fatal body or :meth:`crash_engine` ended.
+    :param folder: where settings and logs of the hosts are written.
+    :ivar crashes: engine crashes caused by a fatal body or :meth:`crash_engine`.
+    :ivar leaving_since: by upstream, when it was marked as draining; infinity if it
+        crashed.
     """
 
-    def __init__(self, seed: int, folder: Path, engines: int = ENGINES) -> None:
+    def __init__(self, seed: int, folder: Path, engines: int = ENGINE_COUNT) -> None:
         self._seed = seed
         self._engines = engines
         self._lock = threading.Lock()
         self._timers: list[threading.Timer] = []
         self.crashes: list[EngineCrash] = []
-        self._started = 0
+        self._upstream_count = 0
         self.store = StandInStore()
         self.cloud = CloudStand()
-        self.book = RunBook()
+        self.run_tracker = RunTracker()
         self.version = 0
         self.published: list[tuple[int, float]] = []
         self.upstreams: dict[str, SoakUpstream] = {}
         self.links: dict[str, Proxy] = {}
-        self.left: dict[str, float] = {}
-        net = random.Random(f"{os.getpid()} {seed}")
-        prefix = f"127.{net.randrange(16, 250)}.{net.randrange(1, 250)}"
+        self.leaving_since: dict[str, float] = {}
+        rng = random.Random(f"{os.getpid()} {seed}")
+        prefix = f"127.{rng.randrange(16, 250)}.{rng.randrange(1, 250)}"
         self.hosts = [
             HostProcess(
                 f"host-{number}",
@@ -209,23 +211,23 @@
                 Proxy(self.store.address),
                 Proxy(self.cloud.address),
             )
-            for number in range(1, HOSTS + 1)
+            for number in range(1, HOST_COUNT + 1)
         ]
         for host in self.hosts:
             host.folder.mkdir(parents=True)
 
     def start(self) -> None:
-        """Start all; return once every host is ready."""
-        self.publish()
+        """Start everything; return once every host is ready."""
+        self.publish_config()
         for _ in range(self._engines):
             self.add_upstream("llm")
-        for _ in range(DESKS):
+        for _ in range(DESK_COUNT):
             self.add_upstream("desk")
         seeds = [host.ip for host in self.hosts[:2]]
         for host in self.hosts:
             host.write_settings(seeds, bootstrap=True)
             host.start()
-        until = time.monotonic() + START_SECONDS
+        until = time.monotonic() + START_TIMEOUT_SECONDS
         while not all(host.is_ready() for host in self.hosts):
             if time.monotonic() > until:
                 raise TimeoutError("hosts are not ready")
@@ -233,44 +235,44 @@
         for host in self.hosts:
             host.write_settings(seeds, bootstrap=False)
 
-    def publish(self) -> None:
-        """Publish a new configuration, in which one more route is there."""
+    def publish_config(self) -> None:
+        """Publish a new configuration version, which has one more route."""
         self.version += 1
         value = make_config(self.version)
         self.store.put(CONFIG_TOPIC, "config", json.dumps(value).encode())
         self.published.append((self.version, time.monotonic()))
 
     def add_upstream(self, service: str) -> SoakUpstream:
-        """Start an upstream behind a link, and register it."""
+        """Start an upstream behind a proxied link, and register it."""
         with self._lock:
-            self._started += 1
-            # Other deployments play beside this one, and ports are used again.
-            name = f"i-{service}-{os.getpid()}-{self._seed}-{self._started}"
+            self._upstream_count += 1
+            # Other deployments may run at the same time, and ports are reused.
+            name = f"i-{service}-{os.getpid()}-{self._seed}-{self._upstream_count}"
         is_engine = service == "llm"
         upstream = SoakUpstream(
             name,
             is_engine,
-            self.book,
+            self.run_tracker,
             self._seed,
-            lambda name: self.crash_engine(name, is_by_body=True),
+            lambda name: self.crash_engine(name, is_caused_by_body=True),
         )
         self.upstreams[name] = upstream
         self.links[name] = Proxy(upstream.address)
         self.register(name)
         return upstream
 
-    def crash_engine(self, name: str, is_by_body: bool = False) -> None:
-        """End an engine without a word; another start of it comes a little later."""
+    def crash_engine(self, name: str, is_caused_by_body: bool = False) -> None:
+        """Crash an engine without notice; it restarts under a new id."""
         with self._lock:
             if any(crash.upstream == name for crash in self.crashes):
                 return
-            self.crashes.append(EngineCrash(name, time.monotonic(), is_by_body))
-        self.left[name] = float("inf")
+            self.crashes.append(EngineCrash(name, time.monotonic(), is_caused_by_body))
+        self.leaving_since[name] = float("inf")
         self.links[name].close()
         self.upstreams[name].crash()
         for seconds, action in (
-            (RESTART_SECONDS, partial(self.add_upstream, "llm")),
-            (LAPSE_SECONDS, partial(self.unregister, name)),
+            (ENGINE_RESTART_SECONDS, partial(self.add_upstream, "llm")),
+            (ENTRY_EXPIRY_SECONDS, partial(self.unregister, name)),
         ):
             timer = threading.Timer(seconds, action)
             timer.daemon = True
@@ -278,11 +280,11 @@
             self._timers.append(timer)
 
     def register(self, name: str, state: str = "ready") -> None:
-        """Write an upstream's entry."""
+        """Write an upstream's entry to the store."""
         value = {
             "service": name.split("-")[1],
             "address": self.links[name].address,
-            "zone": f"hall-{self._started % HOSTS + 1}",
+            "zone": f"hall-{self._upstream_count % HOST_COUNT + 1}",
             "version": "v1",
             "slots": 8,
             "state": state,
@@ -292,24 +294,24 @@
         self.store.put(UPSTREAMS_TOPIC, name, json.dumps(value).encode())
 
     def unregister(self, name: str) -> None:
-        """Remove an upstream's entry."""
+        """Remove an upstream's entry from the store."""
         self.store.put(UPSTREAMS_TOPIC, name, None)
 
-    def heal(self) -> None:
-        """End all that is wrong with links and store."""
+    def clear_faults(self) -> None:
+        """Remove all faults of links, store and cloud API."""
         self.store.status = 0
         self.cloud.status = 200
-        own = [link for h in self.hosts for link in (h.store_link, h.cloud_link)]
-        for link in [*self.links.values(), *own]:
+        host_links = [link for h in self.hosts for link in (h.store_link, h.cloud_link)]
+        for link in [*self.links.values(), *host_links]:
             link.set_fault(LinkFault.NONE)
 
     def close(self) -> None:
-        """End what was started, by its process id."""
+        """Kill the host processes by their ids; close all links and stand-ins."""
         for timer in self._timers:
             timer.cancel()
         for host in self.hosts:
-            host.send(signal.SIGCONT)
-            host.send(signal.SIGKILL)
+            host.send_signal(signal.SIGCONT)
+            host.send_signal(signal.SIGKILL)
             host.wait(5.0)
             host.store_link.close()
             host.cloud_link.close()
@@ -322,7 +324,7 @@
 
 
 def make_config(version: int) -> dict[str, object]:
-    """Return a configuration record; its routes ``probe-N`` mark the version."""
+    """Return a configuration record; its routes ``probe-N`` identify the version."""
     routes = [
         _route("plan", "streaming", "llm", streamResume=True, gapTargetMs=400),
         _route("quote", "streaming", "llm", maxAttempts=1),
@@ -338,7 +340,7 @@
         {"name": "llm", "maxConnections": 100, "engine": engine},
         {"name": "desk", "maxConnections": 100},
     ]
-    team = {"name": TEAM, "apiKeys": [KEY]}
+    team = {"name": TEAM, "apiKeys": [API_KEY]}
     return {
         "version": version,
         "routes": routes,
@@ -355,7 +357,7 @@
 def _route(name: str, kind: str, service: str, **changes: object) -> dict[str, object]:
     route: dict[str, object] = {
         "name": name,
-        "host": SITE,
+        "host": VIRTUAL_HOST,
         "pathPrefix": f"/{name}/",
         "kind": kind,
         "service": service,
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -1,7 +1,7 @@
-"""Play a request that crashes each engine that reads it, beside all others.
+"""Send a request that crashes each engine that reads it, alongside normal load.
 
-Its body comes to the hosts in turn, each time with a new id. Beside it an innocent body
-is asked for again and again, under which engines crash by chance.
+Its body is sent to the hosts in turn, each time with a new id. A harmless body is also
+sent repeatedly, and engines crash for unrelated reasons while they run it.
 """
 
 from __future__ import annotations
@@ -15,62 +15,62 @@
 from pathlib import Path
 
 from tests.soak.callers import POPULAR_BODY, Attempt, Callers
-from tests.soak.deployment import HOSTS, SoakDeployment, service_of
+from tests.soak.deployment import HOST_COUNT, SoakDeployment, service_of
 from tests.soak.fatal import read_quarantined
 from tests.soak.upstreams import FATAL_BODY, Run, digest_of
 
-ENGINES = 8
-FATAL_PAUSE_SECONDS = 0.25
-INNOCENT_PAUSE_SECONDS = 0.4
-CHANCE_CRASHES = 5
-KNOWN_SECONDS = 3.0
-"""From the third crash on, until every host must know of the request."""
+ENGINE_COUNT = 8
+FATAL_INTERVAL_SECONDS = 0.25
+HARMLESS_INTERVAL_SECONDS = 0.4
+UNRELATED_CRASHES = 5
+PROPAGATION_SECONDS = 3.0
+"""From the third crash until every host must have quarantined the request."""
 
-FATAL_CRASHES = 3
-"""The crashes after which a request is known to be the cause."""
+CRASH_THRESHOLD = 3
+"""Number of crashes after which a request is identified as the cause."""
 
 
 @dataclass(frozen=True)
-class PoisonVerdict:
-    """What a play has shown.
-
-    :ivar late_sends: sends of the fatal body later than KNOWN_SECONDS after the third
-        crash under it.
-    :ivar fatal_crashes: engines that it crashed.
-    :ivar fatal: the attempts at it.
-    :ivar others: attempts of all others at engines, but for connections refused while
-        the play had killed every host: nobody was there to serve them.
-    :ivar back: the hosts that served any of the others after they were killed.
-    :ivar innocent: attempts at the innocent body that began after the last crash by
-        chance.
-    :ivar quarantined: fingerprints that any host quarantined, as its log says.
-    :ivar breaches: broken promises of any kind.
+class PoisonResult:
+    """Outcome of a scenario.
+
+    :ivar late_sends: sends of the fatal body later than PROPAGATION_SECONDS after the
+        third crash that it caused.
+    :ivar fatal_crashes: number of engines that it crashed.
+    :ivar fatal: requests with the fatal body.
+    :ivar others: other callers' requests to engines, without connections refused while
+        the scenario had killed every host, as no host could serve them.
+    :ivar recovered_hosts: hosts that served any of the others after their restart.
+    :ivar harmless: requests with the harmless body that started after the last
+        unrelated crash.
+    :ivar quarantined: fingerprints that any host quarantined, according to its log.
+    :ivar violations: violated guarantees of any kind.
     """
 
     late_sends: tuple[Run, ...]
     fatal_crashes: int
     fatal: tuple[Attempt, ...]
     others: tuple[Attempt, ...]
-    back: frozenset[str]
-    innocent: tuple[Attempt, ...]
+    recovered_hosts: frozenset[str]
+    harmless: tuple[Attempt, ...]
     quarantined: frozenset[str]
-    breaches: tuple[str, ...]
+    violations: tuple[str, ...]
 
 
-def served_share(attempts: tuple[Attempt, ...]) -> float:
-    """Return the share of attempts that got a whole answer."""
-    served = sum(attempt.status == 200 and attempt.is_whole for attempt in attempts)
+def compute_served_share(attempts: tuple[Attempt, ...]) -> float:
+    """Return the share of attempts that got a complete response."""
+    served = sum(attempt.status == 200 and attempt.is_complete for attempt in attempts)
     return served / len(attempts)
 
 
-class PoisonPlay:
-    """Plays one deployment.
+class PoisonScenario:
+    """Runs the scenario on one deployment.
 
-    :param folder: where settings and logs of the hosts are left.
-    :param seconds: how long the fatal body comes.
-    :param body: the fatal body; None for a play without one.
+    :param folder: where settings and logs of the hosts are written.
+    :param seconds: how long the fatal body is sent.
+    :param body: the fatal body; None for a run without one.
     :param kill_after: seconds after the third crash at which all hosts are killed.
-    :param group: how many engines crash at once by chance.
+    :param crash_group_size: number of engines in each unrelated crash.
     """
 
     def __init__(
@@ -79,25 +79,25 @@
         seconds: float,
         body: bytes | None = FATAL_BODY,
         kill_after: float | None = None,
-        group: int = 1,
+        crash_group_size: int = 1,
     ) -> None:
-        self._group = group
+        self._crash_group_size = crash_group_size
         self._body = body
-        self._deployment = SoakDeployment(1, folder, engines=ENGINES)
+        self._deployment = SoakDeployment(1, folder, engines=ENGINE_COUNT)
         self._callers = Callers(self._deployment, 1)
         self._seconds = seconds
         self._kill_after = kill_after
         self._stopping = threading.Event()
         self._fatal: list[Attempt] = []
-        self._innocent: list[Attempt] = []
+        self._harmless: list[Attempt] = []
 
-    def play(self) -> PoisonVerdict:
-        """Play it to the end."""
+    def run(self) -> PoisonResult:
+        """Run the scenario and return its outcome."""
         deployment, callers = self._deployment, self._callers
         tasks: list[Callable[[], None]] = [
-            self._ask_fatal,
-            self._ask_innocent,
-            self._crash_by_chance,
+            self._send_fatal,
+            self._send_harmless,
+            self._crash_unrelated,
             self._kill_all,
         ]
         try:
@@ -114,35 +114,41 @@
         finally:
             self._stopping.set()
             deployment.close()
-        return self._judge()
+        return self._collect_result()
 
-    def _ask_fatal(self) -> None:
+    def _send_fatal(self) -> None:
         if self._body is not None:
-            self._repeat("plan", self._body, FATAL_PAUSE_SECONDS, self._fatal)
+            self._send_repeatedly(
+                "plan", self._body, FATAL_INTERVAL_SECONDS, self._fatal
+            )
 
-    def _ask_innocent(self) -> None:
-        self._repeat("plan", POPULAR_BODY, INNOCENT_PAUSE_SECONDS, self._innocent)
+    def _send_harmless(self) -> None:
+        self._send_repeatedly(
+            "plan", POPULAR_BODY, HARMLESS_INTERVAL_SECONDS, self._harmless
+        )
 
-    def _repeat(
+    def _send_repeatedly(
         self, route: str, body: bytes, pause: float, attempts: list[Attempt]
     ) -> None:
-        """Send a body to the hosts in turn; none waits for the one before it."""
+        """Send a body to the hosts in turn, without waiting for responses."""
 
-        def ask(number: int) -> None:
-            name = f"{digest_of(body)[:6]}x{number}"
-            attempts.append(self._callers.ask(number % HOSTS, route, name, body))
+        def send_one(number: int) -> None:
+            request_id = f"{digest_of(body)[:6]}x{number}"
+            attempts.append(
+                self._callers.send(number % HOST_COUNT, route, request_id, body)
+            )
 
         with ThreadPoolExecutor(max_workers=32) as executor:
             number = 0
             while not self._stopping.wait(pause):
                 number += 1
-                executor.submit(ask, number)
+                executor.submit(send_one, number)
 
-    def _crash_by_chance(self) -> None:
-        """Crash engines while they run the innocent body, spread over the play."""
+    def _crash_unrelated(self) -> None:
+        """Crash engines while they run the harmless body, spread over the scenario."""
         digest = digest_of(POPULAR_BODY)
-        for _ in range(CHANCE_CRASHES):
-            if self._stopping.wait(0.6 * self._seconds / CHANCE_CRASHES):
+        for _ in range(UNRELATED_CRASHES):
+            if self._stopping.wait(0.6 * self._seconds / UNRELATED_CRASHES):
                 return
             while not self._stopping.wait(0.01):
                 running = [
@@ -151,61 +157,69 @@
                     if upstream.is_running(digest)
                 ]
                 if running:
-                    others = [name for name in self._living() if name not in running]
-                    for name in [*running, *others][: self._group]:
+                    others = [
+                        name for name in self._live_engines() if name not in running
+                    ]
+                    for name in [*running, *others][: self._crash_group_size]:
                         self._deployment.crash_engine(name)
                     break
 
-    def _living(self) -> list[str]:
+    def _live_engines(self) -> list[str]:
         deployment = self._deployment
         return [
             name
             for name in list(deployment.upstreams)
-            if name.startswith("i-llm") and name not in deployment.left
+            if name.startswith("i-llm") and name not in deployment.leaving_since
         ]
 
     def _kill_all(self) -> None:
         if self._kill_after is None:
             return
-        while (third := self._third_crash()) is None:
+        while (threshold_at := self._threshold_crash()) is None:
             if self._stopping.wait(0.01):
                 return
-        self._stopping.wait(third + self._kill_after - time.monotonic())
+        self._stopping.wait(threshold_at + self._kill_after - time.monotonic())
         for host in self._deployment.hosts:
-            host.send(signal.SIGKILL)
+            host.send_signal(signal.SIGKILL)
         for host in self._deployment.hosts:
             host.wait(5.0)
             host.start()
 
-    def _third_crash(self) -> float | None:
-        by_body = [c.at for c in list(self._deployment.crashes) if c.is_by_body]
-        return by_body[FATAL_CRASHES - 1] if len(by_body) >= FATAL_CRASHES else None
+    def _threshold_crash(self) -> float | None:
+        by_body = [c.at for c in list(self._deployment.crashes) if c.is_caused_by_body]
+        return by_body[CRASH_THRESHOLD - 1] if len(by_body) >= CRASH_THRESHOLD else None
 
-    def _judge(self) -> PoisonVerdict:
+    def _collect_result(self) -> PoisonResult:
         crashes = self._deployment.crashes
-        third = self._third_crash()
+        threshold_at = self._threshold_crash()
         fatal_digest = digest_of(self._body or b"")
-        sends = [
+        fatal_sends = [
             run
-            for runs in self._deployment.book.runs.values()
+            for runs in self._deployment.run_tracker.runs.values()
             for run in runs
             if run.digest == fatal_digest
         ]
-        late = [run for run in sends if third and run.at > third + KNOWN_SECONDS]
+        late_sends = [
+            run
+            for run in fatal_sends
+            if threshold_at and run.at > threshold_at + PROPAGATION_SECONDS
+        ]
         others = [
             attempt
             for attempt in self._callers.attempts
             if service_of(attempt.route) == "llm"
-            and not (self._kill_after is not None and attempt.is_refused_connection)
+            and not (self._kill_after is not None and attempt.is_connection_refused)
         ]
-        last_chance = max((c.at for c in crashes if not c.is_by_body), default=0.0)
-        return PoisonVerdict(
-            tuple(late),
-            sum(crash.is_by_body for crash in crashes),
+        last_unrelated = max(
+            (c.at for c in crashes if not c.is_caused_by_body), default=0.0
+        )
+        return PoisonResult(
+            tuple(late_sends),
+            sum(crash.is_caused_by_body for crash in crashes),
             tuple(self._fatal),
             tuple(others),
             frozenset(a.host for a in others if a.incarnation > 1 and a.status == 200),
-            tuple(a for a in self._innocent if a.began > last_chance),
+            tuple(a for a in self._harmless if a.started > last_unrelated),
             read_quarantined(self._deployment),
-            tuple(self._callers.breaches),
+            tuple(self._callers.violations),
         )
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy whose connections can be delayed, reset, cut or silenced."""
+"""A loopback TCP proxy whose connections can be delayed, reset, cut or stalled."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from tests.listener import Listener
 
-_PIECE_BYTES = 65536
+_CHUNK_BYTES = 65536
 _POLL_SECONDS = 0.02
-CONNECT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 
 
 class LinkFault(Enum):
@@ -27,82 +27,84 @@
 
 
 DELAY_SECONDS = 0.15
-"""Of each piece on a delayed link; a call of the store takes 0.004 s at best."""
+"""Delay of each chunk on a delayed link; a store call takes at least 0.004 s."""
 
 
 class Proxy:
-    """Passes connections on to one server.
+    """Forwards connections to one server.
 
-    :ivar fault: what is wrong now; it holds for open and for new connections.
+    :ivar fault: the current fault, for open and new connections.
     """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
-        self._open: set[socket.socket] = set()
+        self._open_sockets: set[socket.socket] = set()
         self._lock = threading.Lock()
         self.fault = LinkFault.NONE
-        self._listener = Listener(self._pass)
+        self._listener = Listener(self._handle_connection)
 
     @property
     def address(self) -> str:
-        """Where clients connect."""
+        """The address that clients connect to."""
         return self._listener.address
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Put a fault in force; a reset ends open connections."""
+        """Set the current fault; a reset ends open connections."""
         self.fault = fault
         if fault is LinkFault.RESET:
             with self._lock:
-                for sock in self._open:
-                    _wake(sock)
+                for sock in self._open_sockets:
+                    _shut_down_reads(sock)
 
     def close(self) -> None:
-        """Stop, and end all connections."""
+        """Stop listening and reset all connections."""
         self._listener.close()
         self.set_fault(LinkFault.RESET)
 
-    def _pass(self, client: socket.socket) -> None:
+    def _handle_connection(self, client: socket.socket) -> None:
         if self.fault is LinkFault.RESET:
             _reset(client)
             return
         try:
-            server = socket.create_connection(self._target, CONNECT_SECONDS)
+            server = socket.create_connection(self._target, CONNECT_TIMEOUT_SECONDS)
         except OSError:
             _reset(client)
             return
         server.settimeout(None)
         with self._lock:
-            self._open |= {client, server}
-        back = threading.Thread(
-            target=self._pump,
+            self._open_sockets |= {client, server}
+        return_thread = threading.Thread(
+            target=self._forward,
             args=(server, client, LinkFault.CUT_BACK),
             daemon=True,
         )
-        back.start()
-        self._pump(client, server, LinkFault.CUT_FORWARD)
-        back.join()
+        return_thread.start()
+        self._forward(client, server, LinkFault.CUT_FORWARD)
+        return_thread.join()
         with self._lock:
-            self._open -= {client, server}
+            self._open_sockets -= {client, server}
         client.close()
         server.close()
 
-    def _pump(self, source: socket.socket, sink: socket.socket, cut: LinkFault) -> None:
+    def _forward(
+        self, source: socket.socket, destination: socket.socket, cut: LinkFault
+    ) -> None:
         try:
-            while data := source.recv(_PIECE_BYTES):
+            while data := source.recv(_CHUNK_BYTES):
                 self._wait_while_cut(cut)
                 if self.fault is LinkFault.DELAYED:
                     time.sleep(DELAY_SECONDS)
-                sink.sendall(data)
+                destination.sendall(data)
             self._wait_while_cut(cut)
             if self.fault is LinkFault.RESET:
-                raise ConnectionResetError("told to")
-            sink.shutdown(socket.SHUT_WR)
+                raise ConnectionResetError("reset fault is set")
+            destination.shutdown(socket.SHUT_WR)
         except OSError:
-            # One side was reset; so is the other, as without a proxy.
-            for sock in (source, sink):
-                _linger_not(sock)
-                _wake(sock)
+            # One side was reset: reset the other too, as without a proxy.
+            for sock in (source, destination):
+                _enable_reset_on_close(sock)
+                _shut_down_reads(sock)
 
     def _wait_while_cut(self, cut: LinkFault) -> None:
         while self.fault in (cut, LinkFault.SILENT):
@@ -110,22 +112,22 @@
 
 
 def _reset(sock: socket.socket) -> None:
-    """Close with a reset, not in order."""
-    _linger_not(sock)
+    """Close a socket with a reset instead of an orderly shutdown."""
+    _enable_reset_on_close(sock)
     sock.close()
 
 
-def _linger_not(sock: socket.socket) -> None:
-    """Let the next close of a socket be a reset."""
+def _enable_reset_on_close(sock: socket.socket) -> None:
+    """Make the close of a socket send a reset."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     except OSError:
-        pass  # It is closed already.
+        pass  # Already closed.
 
 
-def _wake(sock: socket.socket) -> None:
-    """End the reading of a socket in another thread, without telling its peer."""
+def _shut_down_reads(sock: socket.socket) -> None:
+    """Unblock reads of a socket in another thread, without notifying its peer."""
     try:
         sock.shutdown(socket.SHUT_RD)
     except OSError:
-        pass  # It has ended already.
+        pass  # Already shut down.
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""Play one seed: callers, faults, a calm end, and every promise checked."""
+"""Run one seed: callers and faults, then recovery, then a check of all guarantees."""
 
 from __future__ import annotations
 
@@ -8,148 +8,168 @@
 from pathlib import Path
 
 from tests.soak.callers import Attempt, Callers
-from tests.soak.deployment import ENGINES, HOSTS, RETRIES, SoakDeployment, service_of
+from tests.soak.deployment import (
+    ENGINE_COUNT,
+    HOST_COUNT,
+    RETRY_BUDGET,
+    SoakDeployment,
+    service_of,
+)
 from tests.soak.fatal import FatalBodies
 from tests.soak.faults import DRAIN_SECONDS, Faults
-from tests.soak.upstreams import RunBook
+from tests.soak.upstreams import RunTracker
 
 FAULT_SECONDS = 10.0
-RECOVERY_SECONDS = 6.0
-"""After the last fault, until all hosts serve everything again. Longest of all is a
-store that stayed silent on an open connection: 3 s of keep-alive and a pause."""
+RECOVERY_TIMEOUT_SECONDS = 6.0
+"""Time limit after the last fault for all hosts to serve everything again. The slowest
+case is a store that stayed silent on an open connection: 3 s of keep-alive and a
+pause."""
 
-FATAL_ENGINES = 8
-"""Where bodies crash engines, so many that some are always there for the others."""
+FATAL_ENGINE_COUNT = 8
+"""Engines in runs with fatal bodies: enough to leave some for other requests."""
 
-CALM_SECONDS = 3.0
-"""How long the end of a drain must have been undisturbed to be judged."""
+UNDISTURBED_SECONDS = 3.0
+"""A drain is checked only if the store was undisturbed from this long before its start
+until its end."""
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What one seed has shown.
+class SoakResult:
+    """Outcome of one seed.
 
-    :ivar statuses: how many requests got each status; 0 is no whole answer's head.
-    :ivar breaches: broken promises; empty when all held.
-    :ivar history: the faults, for whoever traces a breach.
+    :ivar statuses: number of requests by status; 0 is no complete response head.
+    :ivar violations: violated guarantees; empty if all held.
+    :ivar history: the injected faults, for debugging a violation.
     """
 
     seed: int
     statuses: dict[int, int]
-    breaches: tuple[str, ...]
+    violations: tuple[str, ...]
     history: tuple[str, ...]
 
 
-def play(
+def run_seed(
     seed: int,
     folder: Path,
     fault_seconds: float = FAULT_SECONDS,
-    has_fatal: bool = False,
-) -> Verdict:
-    """Play one seed; settings and logs of the hosts are left in ``folder``.
+    has_fatal_bodies: bool = False,
+) -> SoakResult:
+    """Run one seed; settings and logs of the hosts are left in ``folder``.
 
-    :param has_fatal: whether bodies that crash engines come beside all other faults,
-        and many callers ask for one that does not.
+    :param has_fatal_bodies: whether bodies that crash engines are sent alongside all
+        other faults, and a share of the callers' requests has one harmless body.
     """
-    deployment = SoakDeployment(seed, folder, FATAL_ENGINES if has_fatal else ENGINES)
+    deployment = SoakDeployment(
+        seed, folder, FATAL_ENGINE_COUNT if has_fatal_bodies else ENGINE_COUNT
+    )
     faults = Faults(deployment, seed)
-    callers = Callers(deployment, seed, has_fatal)
+    callers = Callers(deployment, seed, has_fatal_bodies)
     fatal = FatalBodies(deployment, seed)
     try:
         deployment.start()
         callers.start()
-        if has_fatal:
+        if has_fatal_bodies:
             fatal.start(fault_seconds)
         faults.run(fault_seconds)
         fatal.join()
-        deployment.heal()
+        deployment.clear_faults()
         _await_recovery(deployment, callers)
         callers.stop()
         callers.check()
     finally:
         deployment.close()
-    breaches = [
-        *_judge(callers, faults),
-        *faults.breaches,
-        *(fatal.find_breaches(faults) if has_fatal else ()),
-        *find_late_work(deployment, faults),
-        *find_overspending(deployment.book, callers.attempts),
+    violations = [
+        *_filter_caller_violations(callers, faults),
+        *faults.violations,
+        *(fatal.find_violations(faults) if has_fatal_bodies else ()),
+        *find_work_after_drain(deployment, faults),
+        *find_retry_budget_overruns(deployment.run_tracker, callers.attempts),
         *deployment.cloud.find_breaches(),
     ]
     statuses = Counter(attempt.status for attempt in callers.attempts)
-    return Verdict(seed, dict(statuses), tuple(breaches), tuple(faults.history))
+    return SoakResult(seed, dict(statuses), tuple(violations), tuple(faults.history))
 
 
 def _await_recovery(deployment: SoakDeployment, callers: Callers) -> None:
-    """Ask for the newest route at every host until each serves it."""
+    """Request the newest route from every host until each serves it."""
     newest = f"probe-{deployment.version}"
-    waiting = set(range(HOSTS))
-    until = time.monotonic() + RECOVERY_SECONDS
+    not_recovered = set(range(HOST_COUNT))
+    until = time.monotonic() + RECOVERY_TIMEOUT_SECONDS
     count = 0
-    while waiting and time.monotonic() < until:
-        for host in sorted(waiting):
+    while not_recovered and time.monotonic() < until:
+        for host in sorted(not_recovered):
             count += 1
-            if callers.ask(host, newest, f"probe{host}x{count}").status == 200:
-                waiting.discard(host)
+            if callers.send(host, newest, f"probe{host}x{count}").status == 200:
+                not_recovered.discard(host)
         time.sleep(0.1)
-    for host in sorted(waiting):
-        callers.breaches.append(f"RECOVER: host-{host + 1} does not serve {newest}")
+    for host in sorted(not_recovered):
+        callers.violations.append(f"RECOVER: host-{host + 1} does not serve {newest}")
 
 
-def _judge(callers: Callers, faults: Faults) -> list[str]:
-    """Return what callers found wrong, but for late answers of disturbed hosts."""
+def _filter_caller_violations(callers: Callers, faults: Faults) -> list[str]:
+    """Return the callers' violations without slow responses of disturbed hosts."""
     disturbed = {
         attempt.request_id
         for attempt in callers.attempts
-        if faults.was_disturbed(attempt.host, attempt.began, attempt.ended)
+        if faults.was_disturbed(attempt.host, attempt.started, attempt.ended)
     }
     return [
-        breach
-        for breach in callers.breaches
-        if "its answer took" not in breach or breach.split()[0] not in disturbed
+        violation
+        for violation in callers.violations
+        if "its response took" not in violation or violation.split()[0] not in disturbed
     ]
 
 
-def find_late_work(deployment: SoakDeployment, faults: Faults) -> list[str]:
-    """Return work that reached upstreams long after they had begun to leave."""
-    late = []
-    for name, left in deployment.left.items():
-        calm_from = left - CALM_SECONDS
-        if left == float("inf"):
+def find_work_after_drain(deployment: SoakDeployment, faults: Faults) -> list[str]:
+    """Return work that reached upstreams later than DRAIN_SECONDS into their drain."""
+    late_work = []
+    for name, drain_start in deployment.leaving_since.items():
+        undisturbed_from = drain_start - UNDISTURBED_SECONDS
+        if drain_start == float("inf"):
             continue
-        if faults.was_disturbed("store", calm_from, left + DRAIN_SECONDS):
+        if faults.was_disturbed("store", undisturbed_from, drain_start + DRAIN_SECONDS):
             continue
-        for run in deployment.book.after(name, left + DRAIN_SECONDS):
-            late.append(
-                f"DRAIN: {name} got {run.request_id} {run.at - left:.2f} s late"
+        for run in deployment.run_tracker.started_after(
+            name, drain_start + DRAIN_SECONDS
+        ):
+            late_work.append(
+                f"DRAIN: {name} got {run.request_id} {run.at - drain_start:.2f} s late"
             )
-    return late
+    return late_work
 
 
-def find_overspending(book: RunBook, attempts: list[Attempt]) -> list[str]:
-    """Return services to which more was sent again than all hosts together may.
+def find_retry_budget_overruns(
+    run_tracker: RunTracker, attempts: list[Attempt]
+) -> list[str]:
+    """Return services with more retries than the budget of all hosts together allows.
 
-    Whatever was killed meanwhile. The allowance goes by the requests of the window, of
-    the one before it, or of the one that began half a window before it.
+    Killed hosts are no exception. The budget is computed from the requests of the
+    window, of the one before it, or of the one that started half a window before it.
     """
-    found = []
-    for service, repeats in book.repeats.items():
-        asked = [at.began for at in attempts if service_of(at.route) == service]
-        worst = max(_overspent(repeats, asked, end) for end in repeats)
-        if worst > 0:
-            found.append(f"BUDGET: {service} got {worst:.1f} too many further sends")
-    return found
-
-
-def _overspent(repeats: list[float], asked: list[float], end: float) -> float:
-    window = RETRIES.window
-    spent = _count(repeats, end - window, end)
+    violations = []
+    for service, retries in run_tracker.retries.items():
+        request_times = [
+            attempt.started
+            for attempt in attempts
+            if service_of(attempt.route) == service
+        ]
+        overrun = max(_compute_overrun(retries, request_times, end) for end in retries)
+        if overrun > 0:
+            violations.append(f"BUDGET: {service} got {overrun:.1f} too many retries")
+    return violations
+
+
+def _compute_overrun(
+    retries: list[float], request_times: list[float], end: float
+) -> float:
+    window = RETRY_BUDGET.window
+    spent = _count(retries, end - window, end)
     requests = max(
-        _count(asked, end - back - window, end - back)
-        for back in (0.0, window / 2, window)
+        _count(request_times, end - offset - window, end - offset)
+        for offset in (0.0, window / 2, window)
     )
-    return spent - (RETRIES.ratio * requests + RETRIES.slack)
+    return spent - (RETRY_BUDGET.ratio * requests + RETRY_BUDGET.slack)
 
 
-def _count(moments: list[float], first: float, last: float) -> int:
-    return sum(first <= moment <= last for moment in moments)
+def _count(times: list[float], first: float, last: float) -> int:
+    return sum(first <= t <= last for t in times)
--- a/tests/soak/test_poison.py
+++ b/tests/soak/test_poison.py
@@ -1,13 +1,11 @@
-"""A request that crashes each engine that reads it, beside all others, on real hosts.
-
-What users saw: a request under which three engines had ended was sent to engines again
-and again, 17 of them ended, and for seconds hardly anybody was served by an engine.
-Order of events: the request came to a host and its engine crashed; the same attempt
-sent it to a second one, which crashed; it came to other hosts, each time with a new id
-but the same path, caller and body, and they knew nothing of it.
-Evidence: each engine that crashed had the request under way, without any event of its
-answer, and no other request was there each time. What was known of a crash was kept by
-upstream, so nothing followed for the request.
+"""A request that crashes each engine that reads it is quarantined by all hosts.
+
+Guards against a crash loop: such a request was retried on a second engine and came to
+other hosts with new ids but the same path, caller and body. After three crashes it was
+still sent again and again; 17 engines crashed, and for seconds hardly any request was
+served by an engine. Each crashed engine had this request in flight, with no event sent,
+and no other request was in flight at every crash; but crashes were recorded per
+upstream only, so no host blocked the request.
 """
 
 from __future__ import annotations
@@ -16,20 +14,20 @@
 
 import pytest
 
-from tests.soak.deployment import HOSTS
-from tests.soak.poison import PoisonPlay, served_share
+from tests.soak.deployment import HOST_COUNT
+from tests.soak.poison import PoisonScenario, compute_served_share
 from tests.soak.upstreams import FATAL_BODY, LATE_FATAL_BODY
 
 CI_SECONDS = 12.0
 ALLOWED_LATE_SENDS = 3
-"""Sends later than 3 s after the third crash that the users allow."""
+"""Sends later than 3 s after the third crash that users tolerate."""
 
-FEW_CRASHES = 5
-"""Three prove the cause. Two more leave room for copies that are under way at the same
-moment at the three hosts."""
+MAX_FATAL_CRASHES = 5
+"""Three identify the cause. Two more allow for copies in flight at the same time on the
+three hosts."""
 
-SERVED = 0.9
-"""Of the others: some answers end with the eight or so engines that crash."""
+MIN_SERVED_SHARE = 0.9
+"""Share of the other requests: some fail with the eight or so engines that crash."""
 
 
 @pytest.mark.parametrize(
@@ -40,20 +38,22 @@
 def test_a_request_that_crashes_engines_is_stopped(
     tmp_path: Path, body: bytes, kill_after: float | None
 ) -> None:
-    verdict = PoisonPlay(tmp_path, CI_SECONDS, body, kill_after).play()
-    assert len(verdict.late_sends) <= ALLOWED_LATE_SENDS
-    assert verdict.fatal_crashes <= FEW_CRASHES
-    assert served_share(verdict.innocent) >= SERVED, "an innocent body suffers"
-    assert served_share(verdict.others) >= SERVED
+    result = PoisonScenario(tmp_path, CI_SECONDS, body, kill_after).run()
+    assert len(result.late_sends) <= ALLOWED_LATE_SENDS
+    assert result.fatal_crashes <= MAX_FATAL_CRASHES
+    assert (
+        compute_served_share(result.harmless) >= MIN_SERVED_SHARE
+    ), "harmless body affected"
+    assert compute_served_share(result.others) >= MIN_SERVED_SHARE
     if kill_after is not None:
-        assert len(verdict.back) == HOSTS, "every host serves again"
-    assert len(verdict.quarantined) == 1, "this request and no other"
-    assert verdict.breaches == ()
+        assert len(result.recovered_hosts) == HOST_COUNT, "every host serves again"
+    assert len(result.quarantined) == 1, "this request and no other"
+    assert result.violations == ()
 
 
-def test_engines_that_crash_together_convict_nobody(tmp_path: Path) -> None:
-    """Five of eight engines go at once, again and again, under a much-asked body."""
-    verdict = PoisonPlay(tmp_path, CI_SECONDS, body=None, group=5).play()
-    assert verdict.quarantined == set()
-    assert served_share(verdict.innocent) >= SERVED
-    assert verdict.breaches == ()
+def test_engines_that_crash_together_quarantine_no_request(tmp_path: Path) -> None:
+    """Five of eight engines crash at once, repeatedly, running a frequent body."""
+    result = PoisonScenario(tmp_path, CI_SECONDS, body=None, crash_group_size=5).run()
+    assert result.quarantined == set()
+    assert compute_served_share(result.harmless) >= MIN_SERVED_SHARE
+    assert result.violations == ()
--- a/tests/soak/test_upstream_limits.py
+++ b/tests/soak/test_upstream_limits.py
@@ -1,4 +1,4 @@
-"""Real hosts respect rate limits, leaving reports and Retry-After of engines.
+"""Hosts respect rate limits, leaving reports and Retry-After of engines.
 
 Guards against requests beyond a rate limit, to an engine that reports leaving while its
 entry stays ready, and before the end of a Retry-After.
@@ -14,14 +14,14 @@
 
 import pytest
 
-from tests.soak.callers import CALLERS_EACH, Callers
-from tests.soak.deployment import HOSTS, SoakDeployment
+from tests.soak.callers import CALLERS_PER_HOST, Callers
+from tests.soak.deployment import HOST_COUNT, SoakDeployment
 from tests.soak.upstreams import SoakUpstream
 
-ENGINES = 4
+ENGINE_COUNT = 4
 WARMUP_SECONDS = 1.0
-PLAY_SECONDS = 9.0
-CONTACT_SECONDS = 3.0
+LOAD_SECONDS = 9.0
+SYNC_SECONDS = 3.0
 """Time for all hosts to apply a rate limit after its first report or a restart."""
 
 DRAIN_SECONDS = 2.0
@@ -33,24 +33,24 @@
 
 
 @dataclass(frozen=True)
-class PlayResult:
-    """The outcome of a play.
+class ScenarioResult:
+    """The outcome of a run.
 
-    :ivar engine: the most used engine, whose answers were changed.
-    :ivar changed_at: when its answers were changed.
+    :ivar engine: the most used engine, whose responses were changed.
+    :ivar changed_at: when its responses were changed.
     :ivar ready_at: when the last restart ended; ``changed_at`` if there was none.
-    :ivar served_share: share of attempts that were answered completely with a 200.
+    :ivar served_share: share of attempts that got a complete response with status 200.
     """
 
     engine: SoakUpstream
     changed_at: float
     ready_at: float
     served_share: float
-    breaches: tuple[str, ...]
+    violations: tuple[str, ...]
 
-    def count_after(self, moment: float) -> int:
-        """Return the number of requests that reached the engine after a moment."""
-        return sum(at > moment for at in self.engine.arrivals)
+    def count_after(self, since: float) -> int:
+        """Return the number of requests that reached the engine after ``since``."""
+        return sum(at > since for at in self.engine.arrivals)
 
     def max_in_window(self, since: float) -> int:
         """Return the maximum number of requests in any window of WINDOW_SECONDS."""
@@ -61,16 +61,16 @@
         )
 
 
-def play(
+def run_scenario(
     folder: Path, change: Callable[[SoakUpstream], None], kill_after: float | None
-) -> PlayResult:
-    """Run one deployment under load while one engine changes its answers.
+) -> ScenarioResult:
+    """Run one deployment under load while one engine changes its responses.
 
-    :param change: changes the answers of the most used engine.
+    :param change: changes the responses of the most used engine.
     :param kill_after: seconds from that change until the first host is restarted; None
         for no restart.
     """
-    deployment = SoakDeployment(1, folder, engines=ENGINES)
+    deployment = SoakDeployment(1, folder, engines=ENGINE_COUNT)
     callers = Callers(deployment, 1)
     try:
         deployment.start()
@@ -82,19 +82,19 @@
         if kill_after is not None:
             time.sleep(kill_after)
             ready_at = _restart(deployment)
-        time.sleep(PLAY_SECONDS)
+        time.sleep(LOAD_SECONDS)
         callers.stop()
         callers.check()
     finally:
         callers.stopping.set()
         deployment.close()
-    served = sum(a.status == 200 and a.is_whole for a in callers.attempts)
-    return PlayResult(
+    served = sum(a.status == 200 and a.is_complete for a in callers.attempts)
+    return ScenarioResult(
         engine,
         changed_at,
         ready_at,
         served / max(1, len(callers.attempts)),
-        tuple(callers.breaches),
+        tuple(callers.violations),
     )
 
 
@@ -105,7 +105,7 @@
 def _restart(deployment: SoakDeployment) -> float:
     """Kill and restart the first host; return the time when it is ready."""
     host = deployment.hosts[0]
-    host.send(signal.SIGKILL)
+    host.send_signal(signal.SIGKILL)
     host.wait(5.0)
     host.start()
     until = time.monotonic() + 10.0
@@ -134,9 +134,9 @@
 
 @RESTART_CASES
 def test_hosts_keep_to_a_rate_limit(tmp_path: Path, kill_after: float | None) -> None:
-    result = play(tmp_path, limit_rate, kill_after)
-    assert result.max_in_window(result.ready_at + CONTACT_SECONDS) <= MAX_IN_WINDOW
-    assert result.breaches == ()
+    result = run_scenario(tmp_path, limit_rate, kill_after)
+    assert result.max_in_window(result.ready_at + SYNC_SECONDS) <= MAX_IN_WINDOW
+    assert result.violations == ()
     assert kill_after is not None or result.served_share >= MIN_SERVED_SHARE
 
 
@@ -144,16 +144,16 @@
 def test_hosts_send_nothing_to_an_engine_that_reports_leaving(
     tmp_path: Path, kill_after: float | None
 ) -> None:
-    result = play(tmp_path, report_leaving, kill_after)
+    result = run_scenario(tmp_path, report_leaving, kill_after)
     assert result.count_after(result.ready_at + DRAIN_SECONDS) == 0
-    assert result.breaches == ()
+    assert result.violations == ()
     assert kill_after is not None or result.served_share >= MIN_SERVED_SHARE
 
 
 def test_hosts_wait_for_the_end_of_retry_after(tmp_path: Path) -> None:
-    result = play(tmp_path, send_retry_after, None)
-    periods = PLAY_SECONDS / RETRY_AFTER_SECONDS + 1
-    under_way = HOSTS * CALLERS_EACH
-    assert result.count_after(result.changed_at) <= HOSTS * periods + under_way
-    assert result.breaches == ()
+    result = run_scenario(tmp_path, send_retry_after, None)
+    periods = LOAD_SECONDS / RETRY_AFTER_SECONDS + 1
+    in_flight = HOST_COUNT * CALLERS_PER_HOST
+    assert result.count_after(result.changed_at) <= HOST_COUNT * periods + in_flight
+    assert result.violations == ()
     assert result.served_share >= MIN_SERVED_SHARE
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Stand-ins for upstreams that remember all they ran, and can be made to fail."""
+"""Stand-in upstreams that record the requests they ran and can be made to fail."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from tests.exchange.world import Asked, read_request
 from tests.listener import Listener
 
-SLOTS = 8
-DESK_SECONDS = 0.03
-EVENT_SECONDS = 0.02
+SLOT_COUNT = 8
+DESK_RESPONSE_SECONDS = 0.03
+EVENT_INTERVAL_SECONDS = 0.02
 MAX_EVENTS = 30
 
 
 class UpstreamFault(Enum):
-    """How an upstream misbehaves while it takes work."""
+    """How an upstream misbehaves while it accepts work."""
 
     NONE = "none"
     FAILS = "answers 500 to some, though it ran them"
@@ -34,21 +34,21 @@
 FATAL_BODY = b"a body that crashes the engine that reads it"
 LATE_FATAL_BODY = b"a body that crashes the engine after some events"
 CRASH_AFTER_SECONDS = 0.08
-"""From reading a body that begins so to the end; the second kind has events by then."""
+"""From reading a fatal body to the crash; a late fatal body has sent events by then."""
 
 LATE_FATAL_EVENTS = 3
 
 FAULT_SHARE = 0.4
-"""Part of the requests that a misbehaving upstream treats so."""
+"""Share of the requests that the fault of an upstream affects."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """A request that an upstream has begun to work on."""
+    """A request that an upstream started to process."""
 
     request_id: str
     upstream: str
-    line: str
+    request_line: str
     digest: str
     team: str
     deadline_ms: float
@@ -57,15 +57,15 @@
 
 
 @dataclass
-class RunBook:
-    """All runs at all upstreams, as they saw them.
+class RunTracker:
+    """Records all runs on all upstreams, as the upstreams observed them.
 
-    :ivar repeats: by service, when requests arrived that had arrived before, also those
-        that were refused.
+    :ivar retries: by service, arrival times of requests that had arrived before,
+        including refused ones.
     """
 
     runs: dict[str, list[Run]] = field(default_factory=dict)
-    repeats: dict[str, list[float]] = field(default_factory=dict)
+    retries: dict[str, list[float]] = field(default_factory=dict)
     arrived: set[str] = field(default_factory=set)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
@@ -73,19 +73,19 @@
         with self.lock:
             self.runs.setdefault(run.request_id, []).append(run)
 
-    def note_arrival(self, service: str, request_id: str, at: float) -> None:
-        """Take note of a request that has reached an upstream."""
+    def record_arrival(self, service: str, request_id: str, at: float) -> None:
+        """Record that a request reached an upstream."""
         with self.lock:
             if request_id in self.arrived:
-                self.repeats.setdefault(service, []).append(at)
+                self.retries.setdefault(service, []).append(at)
             self.arrived.add(request_id)
 
-    def of(self, request_id: str) -> list[Run]:
+    def runs_of(self, request_id: str) -> list[Run]:
         with self.lock:
             return list(self.runs.get(request_id, ()))
 
-    def after(self, upstream: str, moment: float) -> list[Run]:
-        """Return what an upstream has begun since ``moment``."""
+    def started_after(self, upstream: str, moment: float) -> list[Run]:
+        """Return the runs that an upstream started after ``moment``."""
         with self.lock:
             return [
                 run
@@ -95,28 +95,28 @@
             ]
 
 
-def events_of(request_id: str) -> int:
-    """Return how many events the answer to a streamed request has."""
+def event_count_of(request_id: str) -> int:
+    """Return the number of events in the response to a streaming request."""
     return 1 + int(hashlib.sha256(request_id.encode()).hexdigest(), 16) % MAX_EVENTS
 
 
-def answer_of(request_id: str) -> bytes:
-    """Return the whole answer to a request that is not streamed."""
+def response_body_of(request_id: str) -> bytes:
+    """Return the complete response body of a request that is not streaming."""
     return f"{request_id} {'x' * (len(request_id) * 20)}\n".encode()
 
 
 def digest_of(body: bytes) -> str:
-    """Return what tells one body from another."""
+    """Return the hex digest that identifies a body."""
     return hashlib.sha256(body).hexdigest()
 
 
 class SoakUpstream:
-    """One start of an upstream.
+    """One instance of an upstream.
 
     :param name: its id; a restart gets a new one.
-    :param streams: whether it is an engine, whose answers are events.
-    :param on_fatal: told of the engine that has read a fatal body; it is to crash it.
-    :ivar headers: additional header lines of its answers.
+    :param streams: whether it is an engine, which responds with events.
+    :param on_fatal: called to crash an engine that read a fatal body, with its id.
+    :ivar headers: additional header lines of its responses.
     :ivar retry_after: Retry-After of the 503 sent to every request; None to serve them.
     :ivar arrivals: arrival times of requests, on the monotonic clock.
     """
@@ -125,7 +125,7 @@
         self,
         name: str,
         streams: bool,
-        book: RunBook,
+        run_tracker: RunTracker,
         seed: int,
         on_fatal: Callable[[str], None] = lambda name: None,
     ) -> None:
@@ -136,12 +136,12 @@
         self.retry_after: float | None = None
         self.arrivals: list[float] = []
         self._streams = streams
-        self._book = book
+        self._run_tracker = run_tracker
         self._rng = random.Random(f"{seed} {name}")
-        self._slots = threading.BoundedSemaphore(SLOTS)
+        self._slots = threading.BoundedSemaphore(SLOT_COUNT)
         self._lock = threading.Lock()
         self._open: set[socket.socket] = set()
-        self._under_way: list[str] = []
+        self._digests_in_flight: list[str] = []
         self._listener = Listener(self._serve)
 
     @property
@@ -149,41 +149,43 @@
         return self._listener.address
 
     def is_running(self, digest: str) -> bool:
-        """Tell whether a request with such a body is under way."""
+        """Return whether a request with this body digest is in flight."""
         with self._lock:
-            return digest in self._under_way
+            return digest in self._digests_in_flight
 
     def crash(self) -> None:
-        """End at once: the port and all connections are gone."""
+        """Close the port and all connections at once."""
         self._listener.close()
         with self._lock:
             for sock in self._open:
-                _end(sock)
+                _shut_down(sock)
 
     def _serve(self, sock: socket.socket) -> None:
         with self._lock:
             self._open.add(sock)
         stream = sock.makefile("rb")
         try:
-            while (asked := read_request(stream)) is not None:
-                self._answer(sock, asked)
+            while (request := read_request(stream)) is not None:
+                self._respond(sock, request)
         except (OSError, ValueError):
-            pass  # The caller left, or the upstream was told to break off.
+            pass  # The caller disconnected, or a fault ended the response.
         finally:
             with self._lock:
                 self._open.discard(sock)
             stream.close()
             sock.close()
 
-    def _answer(self, sock: socket.socket, asked: Asked) -> None:
-        if "/-/kv-list" in asked.line:
+    def _respond(self, sock: socket.socket, request: Asked) -> None:
+        if "/-/kv-list" in request.line:
             _send(sock, "200 OK", [], b'{"epoch": 1, "held": []}')
             return
-        self._book.note_arrival(self.name.split("-")[1], asked.request_id, asked.at)
-        if asked.headers.get("x-expect-instance", self.name) != self.name:
+        self._run_tracker.record_arrival(
+            self.name.split("-")[1], request.request_id, request.at
+        )
+        if request.headers.get("x-expect-instance", self.name) != self.name:
             _send(sock, "421 Misdirected", [f"X-Instance-Id: {self.name}"], b"")
             return
-        self.arrivals.append(asked.at)
+        self.arrivals.append(request.at)
         if self.retry_after is not None:
             head = ["X-Not-Executed: 1", f"Retry-After: {self.retry_after}"]
             _send(sock, "503 Busy", [*head, *self.headers], b"")
@@ -191,43 +193,43 @@
         if not self._slots.acquire(blocking=False):
             _send(sock, "503 Full", ["X-Not-Executed: 1", *self.headers], b"")
             return
-        digest = digest_of(asked.body)
+        digest = digest_of(request.body)
         try:
             with self._lock:
-                self._under_way.append(digest)
-            self._run(sock, asked)
+                self._digests_in_flight.append(digest)
+            self._process(sock, request)
         finally:
             with self._lock:
-                self._under_way.remove(digest)
+                self._digests_in_flight.remove(digest)
             self._slots.release()
 
-    def _run(self, sock: socket.socket, asked: Asked) -> None:
-        self._book.add(
+    def _process(self, sock: socket.socket, request: Asked) -> None:
+        self._run_tracker.add(
             Run(
-                asked.request_id,
+                request.request_id,
                 self.name,
-                asked.line,
-                digest_of(asked.body),
-                asked.headers.get("x-tenant", ""),
-                float(asked.headers.get("x-deadline-ms", "inf")),
-                "x-credential" in asked.headers,
-                asked.at,
+                request.line,
+                digest_of(request.body),
+                request.headers.get("x-tenant", ""),
+                float(request.headers.get("x-deadline-ms", "inf")),
+                "x-credential" in request.headers,
+                request.at,
             )
         )
-        if asked.body.startswith((FATAL_BODY, LATE_FATAL_BODY)):
+        if request.body.startswith((FATAL_BODY, LATE_FATAL_BODY)):
             threading.Timer(
                 CRASH_AFTER_SECONDS, self._on_fatal, args=(self.name,)
             ).start()
-        if asked.body.startswith(FATAL_BODY):
-            _wait_for_the_end(sock)
+        if request.body.startswith(FATAL_BODY):
+            _wait_for_crash(sock)
         with self._lock:
-            is_struck = self._rng.random() < FAULT_SHARE
+            is_affected = self._rng.random() < FAULT_SHARE
             break_at = self._rng.randrange(MAX_EVENTS)
-        fault = self.fault if is_struck else UpstreamFault.NONE
+        fault = self.fault if is_affected else UpstreamFault.NONE
         factor = 10.0 if self.fault is UpstreamFault.SLOW else 1.0
         head = [
-            f"X-Request-Id: {asked.request_id}",
-            f"X-Response-Signature: {self.name}.{asked.request_id}",
+            f"X-Request-Id: {request.request_id}",
+            f"X-Response-Signature: {self.name}.{request.request_id}",
             *self.headers,
         ]
         if fault is UpstreamFault.SILENT:
@@ -238,10 +240,10 @@
             _send(sock, "500 Failed", head, b"failed\n")
         elif self._streams:
             at = break_at if fault is UpstreamFault.BREAKS else None
-            self._stream(sock, asked, head, factor, at)
+            self._stream(sock, request, head, factor, at)
         else:
-            time.sleep(DESK_SECONDS * factor)
-            body = answer_of(asked.request_id)
+            time.sleep(DESK_RESPONSE_SECONDS * factor)
+            body = response_body_of(request.request_id)
             if fault is UpstreamFault.BREAKS:
                 _send(sock, "200 OK", head, body, cut=len(body) // 2)
                 raise OSError("broken off")
@@ -252,29 +254,31 @@
     def _stream(
         self,
         sock: socket.socket,
-        asked: Asked,
+        request: Asked,
         head: list[str],
         factor: float,
         break_at: int | None,
     ) -> None:
-        last = events_of(asked.request_id)
+        event_count = event_count_of(request.request_id)
         lines = [*head, "Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         sock.sendall(("HTTP/1.1 200 OK\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode())
-        first = int(asked.headers.get("last-event-id", "0")) + 1
+        first = int(request.headers.get("last-event-id", "0")) + 1
         cut_after = None
-        if asked.body.startswith(LATE_FATAL_BODY):
-            cut_after = min(first + LATE_FATAL_EVENTS - 1, last - 1)
+        if request.body.startswith(LATE_FATAL_BODY):
+            cut_after = min(first + LATE_FATAL_EVENTS - 1, event_count - 1)
             if cut_after < first:
-                _wait_for_the_end(sock)
-        for number in range(first, last + 1):
-            time.sleep(EVENT_SECONDS * factor)
-            event = f"id: {number}\ndata: {asked.request_id} {number}/{last}\n\n"
+                _wait_for_crash(sock)
+        for number in range(first, event_count + 1):
+            time.sleep(EVENT_INTERVAL_SECONDS * factor)
+            event = (
+                f"id: {number}\ndata: {request.request_id} {number}/{event_count}\n\n"
+            )
             if break_at is not None and number >= break_at:
                 _send_chunk(sock, event[: len(event) // 2].encode())
                 raise OSError("broken off inside an event")
             _send_chunk(sock, event.encode())
             if number == cut_after:
-                _wait_for_the_end(sock)
+                _wait_for_crash(sock)
         sock.sendall(b"0\r\n\r\n")
 
 
@@ -289,8 +293,8 @@
     sock.sendall(("\r\n".join(lines) + "\r\n\r\n").encode() + body[:cut])
 
 
-def _wait_for_the_end(sock: socket.socket) -> None:
-    """Send nothing more, up to the crash."""
+def _wait_for_crash(sock: socket.socket) -> None:
+    """Send nothing more until the crash closes the connection."""
     while sock.recv(1):
         pass
     raise OSError("crashed")
@@ -300,8 +304,8 @@
     sock.sendall(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
 
-def _end(sock: socket.socket) -> None:
+def _shut_down(sock: socket.socket) -> None:
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # It has ended already.
+        pass  # Already shut down.
