--- a/src/rudderpass/duties/_coordinator.py
+++ b/src/rudderpass/duties/_coordinator.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class ClusterView:
-    """What the host knows of itself and its peers.
+    """The host's view of itself and its peers.
 
     :param hosts: those that are alive, including this one.
     :param last_heard: when any peer was last heard from; None without peers.
--- a/src/rudderpass/duties/_reports.py
+++ b/src/rudderpass/duties/_reports.py
@@ -1,7 +1,7 @@
 """Decides when a window's usage is settled, and which reports are due.
 
 The counts reported for a window never change. They are written to the log of the duties
-before the first report is sent, and a new holder repeats the reports from the log.
+before the first report is sent, and a new holder resends the reports from the log.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 """Share of the report delay spent waiting for the counts of hosts that have not sent
 them; the rest is reserved for outages of the platform."""
 
-GIVE_UP_SECONDS = 30.0
+ABANDON_SECONDS = 30.0
 """Time after the end of a window at which its report is abandoned."""
 
 RETRY_SECONDS = 0.5
@@ -154,4 +154,4 @@
         return first_start is not None and first_start <= self._clock.wall_at(begin)
 
     def _is_abandoned(self, window: int, now: float) -> bool:
-        return now - self._clock.window_start(window + 1) > GIVE_UP_SECONDS
+        return now - self._clock.window_start(window + 1) > ABANDON_SECONDS
--- a/src/rudderpass/duties/_scaling.py
+++ b/src/rudderpass/duties/_scaling.py
@@ -23,7 +23,7 @@
 """Interval between attempts of an order that was not carried out."""
 
 BOOT_GRACE_SECONDS = 3.0
-"""Time beyond the boot time until an order with missing upstreams is repeated."""
+"""Time beyond the boot time until an order with missing upstreams is sent again."""
 
 PEAK_WINDOW_SECONDS = 600.0
 """Window of the peak load: bursts come some minutes apart."""
@@ -276,5 +276,5 @@
             return present != count and waited >= RETRY_SECONDS
         if ordered != count:
             return True
-        patience = self._boot_seconds[group.service] + BOOT_GRACE_SECONDS
-        return present < count and waited >= patience
+        timeout = self._boot_seconds[group.service] + BOOT_GRACE_SECONDS
+        return present < count and waited >= timeout
--- a/src/rudderpass/gossip/_codec.py
+++ b/src/rudderpass/gossip/_codec.py
@@ -69,7 +69,7 @@
             heartbeat.warm,
             heartbeat.following,
             [_stream_to_wire(sample) for sample in heartbeat.streams] or None,
-            _reading_to_wire(heartbeat.reading) or None,
+            _prefill_rates_to_wire(heartbeat.prefill_rates) or None,
             heartbeat.zone,
             heartbeat.number,
             None if heartbeat.digest is None else _digest_to_wire(heartbeat.digest),
@@ -107,7 +107,7 @@
             bool(raw.warm),
             bool(raw.following),
             tuple(_stream_from_wire(item) for item in raw.streams or ()),
-            _reading_from_wire(raw.reading),
+            _prefill_rates_from_wire(raw.reading),
             None if raw.zone is None else AvailabilityZone(raw.zone),
             raw.number or 0,
             None if raw.digest is None else _digest_from_wire(raw.digest),
@@ -168,13 +168,13 @@
 
 
 def encode_prompts(prompts: Iterable[SentPrompt]) -> bytes:
-    """Return the compressed bytes of the prompts that a host believes to be cached."""
+    """Return the compressed bytes of the prompts that a host assumes to be cached."""
     raw = wire.Prompts([_prompt_to_wire(prompt) for prompt in prompts])
     return _deflate(encode_struct(raw))
 
 
 def decode_prompts(data: bytes) -> tuple[SentPrompt, ...]:
-    """Return the prompts that a peer believes to be cached.
+    """Return the prompts that a peer assumes to be cached.
 
     :raises PeerError: when the bytes are not valid prompts.
     """
@@ -269,7 +269,7 @@
             for zone, members in digest.members.items()
         ],
         _loads_to_wire(digest.loads),
-        _reading_to_wire(digest.reading),
+        _prefill_rates_to_wire(digest.prefill_rates),
     )
 
 
@@ -283,7 +283,7 @@
             for item in raw.zones or ()
         },
         _loads_from_wire(raw.loads),
-        _reading_from_wire(raw.reading),
+        _prefill_rates_from_wire(raw.reading),
     )
 
 
@@ -328,7 +328,7 @@
     return NodeId(f"{ip}:{packed & _MAX_PORT}")
 
 
-def _reading_from_wire(
+def _prefill_rates_from_wire(
     raw: list[wire.ServiceReading] | None,
 ) -> dict[PoolId, PrefillRate]:
     return {
@@ -339,8 +339,8 @@
     }
 
 
-def _reading_to_wire(
-    reading: Mapping[PoolId, PrefillRate],
+def _prefill_rates_to_wire(
+    prefill_rates: Mapping[PoolId, PrefillRate],
 ) -> list[wire.ServiceReading]:
     rounded = [
         wire.ServiceReading(
@@ -348,7 +348,7 @@
             min(MAX_I32, round(rates.tight)),
             min(MAX_I32, round(rates.other)),
         )
-        for service, rates in reading.items()
+        for service, rates in prefill_rates.items()
     ]
     return [item for item in rounded if item.tight or item.other]
 
--- a/src/rudderpass/gossip/_digest.py
+++ b/src/rudderpass/gossip/_digest.py
@@ -1,4 +1,4 @@
-"""Summaries that relays send of the hosts they hear from."""
+"""Summaries that relays send of the hosts that report to them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Member:
-    """State of one host, as last heard by a relay of its availability zone.
+    """State of one host, as last received by a relay of its availability zone.
 
     :param number: of its newest heartbeat included in the digest's sums.
     :param age: seconds since that heartbeat was received.
@@ -36,13 +36,13 @@
     :param covers_all_zones: true in digests for hosts of the relay's own zone.
     :param members: the hosts by zone; those of other zones are not in every digest.
     :param loads: the requests in flight at each upstream.
-    :param reading: prompt tokens per second sent to each service's engines.
+    :param prefill_rates: prompt tokens per second sent to each service's engines.
     """
 
     covers_all_zones: bool
     members: Mapping[AvailabilityZone, tuple[Member, ...]] = field(default_factory=dict)
     loads: Mapping[UpstreamId, Load] = field(default_factory=dict)
-    reading: Mapping[PoolId, PrefillRate] = field(default_factory=dict)
+    prefill_rates: Mapping[PoolId, PrefillRate] = field(default_factory=dict)
 
     def find_number(self, host: NodeId, zone: AvailabilityZone) -> int | None:
         """Return the number of a host's newest heartbeat in the sums."""
--- a/src/rudderpass/gossip/_heartbeat.py
+++ b/src/rudderpass/gossip/_heartbeat.py
@@ -26,13 +26,13 @@
     :param warm: whether it knows the contents of the upstreams' caches.
     :param following: whether it follows the platform's store itself.
     :param streams: samples of streams that ended since the last heartbeat.
-    :param reading: prompt tokens per second that it sends to each service's engines.
+    :param prefill_rates: prompt tokens per second it sends to each service's engines.
     :param zone: its availability zone.
     :param number: sequence number of its heartbeat.
     :param digest: summary of other hosts, if it is a relay.
     :param link_mbps: capacity of its link, Mbit/s; 0 if not reported.
     :param suspects: requests that may crash upstreams.
-    :param duty: what it knows of the holder of the duties, if there are any.
+    :param duty: status of the duties as it knows them; None if there are none.
     :param usage: its counts for the usage reports.
     :param rate_limits: rate limits reported by upstreams.
     :param leaving: upstreams that reported that they are leaving.
@@ -48,7 +48,7 @@
     warm: bool = False
     following: bool = False
     streams: tuple[StreamSample, ...] = ()
-    reading: Mapping[PoolId, PrefillRate] = field(default_factory=dict)
+    prefill_rates: Mapping[PoolId, PrefillRate] = field(default_factory=dict)
     zone: AvailabilityZone | None = None
     number: int = 0
     digest: Digest | None = None
--- a/src/rudderpass/gossip/_peer_table.py
+++ b/src/rudderpass/gossip/_peer_table.py
@@ -66,13 +66,13 @@
 class _Peer:
     """Last known state of a peer.
 
-    :ivar heard: when this host or a relay last heard from it.
-    :ivar heard_directly: when this host itself last heard from it.
-    :ivar followed: when it last reported that it follows the platform's store.
+    :ivar last_heard: when this host or a relay last heard from it.
+    :ivar last_heard_directly: when this host itself last heard from it.
+    :ivar last_followed: when it last reported that it follows the platform's store.
     """
 
-    heard: float = float("-inf")
-    heard_directly: float = float("-inf")
+    last_heard: float = float("-inf")
+    last_heard_directly: float = float("-inf")
     zone: AvailabilityZone | None = None
     link_mbps: int = 0
     config_offset: int = -1
@@ -80,14 +80,17 @@
     stopping: bool = False
     warm: bool = False
     following: bool = False
-    followed: float = float("-inf")
+    last_followed: float = float("-inf")
     holds_duties: bool = False
 
     def update(
-        self, report: Heartbeat | Member, zone: AvailabilityZone | None, heard: float
+        self,
+        report: Heartbeat | Member,
+        zone: AvailabilityZone | None,
+        last_heard: float,
     ) -> None:
         """Apply a report from the peer itself or from a relay."""
-        self.heard = heard
+        self.last_heard = last_heard
         self.zone = zone
         self.link_mbps = report.link_mbps
         self.config_offset = report.config_offset
@@ -96,7 +99,7 @@
         self.warm = report.warm
         self.following = report.following
         if report.following:
-            self.followed = heard
+            self.last_followed = last_heard
 
 
 class PeerTable:
@@ -128,7 +131,7 @@
         if peer is None:
             return False
         is_new = not self._is_live(peer, now)
-        peer.heard_directly = now
+        peer.last_heard_directly = now
         peer.holds_duties = heartbeat.duty is not None and heartbeat.duty.holds
         peer.update(heartbeat, heartbeat.zone, now)
         return is_new
@@ -141,12 +144,12 @@
                 self._merge_member(zone, member, now - member.age)
 
     def _merge_member(
-        self, zone: AvailabilityZone, member: Member, heard: float
+        self, zone: AvailabilityZone, member: Member, last_heard: float
     ) -> None:
         peer = self._peers.get(member.host)
-        if peer is None or heard <= peer.heard:
+        if peer is None or last_heard <= peer.last_heard:
             return
-        peer.update(member, zone, heard)
+        peer.update(member, zone, last_heard)
 
     def describe(self, name: NodeId, number: int, now: float) -> Member:
         """Return a peer's entry for a digest."""
@@ -154,7 +157,7 @@
         return Member(
             name,
             number,
-            now - peer.heard,
+            now - peer.last_heard,
             peer.config_offset,
             peer.upstreams_end,
             peer.stopping,
@@ -184,9 +187,9 @@
         }
         return sorted(zones)
 
-    def heard_directly(self, name: NodeId) -> float:
+    def last_heard_directly(self, name: NodeId) -> float:
         """Return when this host last heard from a peer directly; -infinity if never."""
-        return self._peers[name].heard_directly
+        return self._peers[name].last_heard_directly
 
     def live(self, now: float) -> list[NodeId]:
         """Return the live peers."""
@@ -195,10 +198,11 @@
     def count_hosts(self, now: float) -> int:
         """Return how many hosts share the system's budgets, this one included."""
         sharing = sum(
-            now - peer.heard <= BUDGET_SHARE_SECONDS for peer in self._peers.values()
+            now - peer.last_heard <= BUDGET_SHARE_SECONDS
+            for peer in self._peers.values()
         )
-        if sharing * 2 < self._heard_count or not self.live(now):
-            return max(MIN_HOSTS, self._heard_count + 1)
+        if sharing * 2 < self._contacted_count or not self.live(now):
+            return max(MIN_HOSTS, self._contacted_count + 1)
         return sharing + 1
 
     def rank_host(self, key: str, now: float) -> HostRank:
@@ -208,7 +212,7 @@
         recent = [
             name
             for name, peer in self._peers.items()
-            if now - peer.heard <= REPLACED_SECONDS
+            if now - peer.last_heard <= REPLACED_SECONDS
         ]
         if len(live) * 2 < len(recent):
             # This host is probably isolated, and the peers still use their shares.
@@ -218,8 +222,8 @@
         return HostRank(rank, len(serving) + 1)
 
     @property
-    def _heard_count(self) -> int:
-        return sum(peer.heard > float("-inf") for peer in self._peers.values())
+    def _contacted_count(self) -> int:
+        return sum(peer.last_heard > float("-inf") for peer in self._peers.values())
 
     def targets(self, now: float) -> list[NodeId]:
         """Return the receivers of the next heartbeat where no relays are used."""
@@ -234,7 +238,7 @@
         return any(self._peers[name].config_offset >= 0 for name in self.live(now))
 
     def choose_warm_peer(self, now: float) -> NodeId | None:
-        """Return a random live peer that knows what the upstreams' caches hold."""
+        """Return a random live peer that knows the upstreams' cache contents."""
         warm = [name for name in self.live(now) if self._peers[name].warm]
         return self._rng.choice(warm) if warm else None
 
@@ -262,7 +266,7 @@
         return [
             name
             for name in self.live(now)
-            if now - self._peers[name].followed <= CANDIDATE_SECONDS
+            if now - self._peers[name].last_followed <= CANDIDATE_SECONDS
             and not self._peers[name].stopping
         ]
 
@@ -274,8 +278,10 @@
     @property
     def last_heard(self) -> float | None:
         """When this host last heard from any peer; None for never."""
-        heard = max((p.heard_directly for p in self._peers.values()), default=-math.inf)
-        return None if heard == -math.inf else heard
+        newest = max(
+            (p.last_heard_directly for p in self._peers.values()), default=-math.inf
+        )
+        return None if newest == -math.inf else newest
 
     def choose_peer_ahead(
         self, config_offset: int, upstreams_end: int, follows_store: bool, now: float
@@ -302,10 +308,10 @@
 
     def _is_store_follower(self, name: NodeId, now: float) -> bool:
         peer = self._peers[name]
-        return peer.following and now - peer.heard <= FOLLOWER_TIMEOUT_SECONDS
+        return peer.following and now - peer.last_heard <= FOLLOWER_TIMEOUT_SECONDS
 
     def _is_live(self, peer: _Peer, now: float) -> bool:
-        return now - peer.heard <= LIVE_SECONDS
+        return now - peer.last_heard <= LIVE_SECONDS
 
     def _sample(self, names: list[NodeId], limit: int) -> list[NodeId]:
         if len(names) <= limit:
--- a/src/rudderpass/gossip/_relays.py
+++ b/src/rudderpass/gossip/_relays.py
@@ -5,7 +5,7 @@
 compared to 0.013 with 24 hosts, and each reached only half of the peers. So a few
 relays in each zone receive the heartbeats of the zone's hosts and send digests of them
 to the relays of the other zones and to the hosts of their own. No host depends on a
-relay: without one, it goes by its own requests alone.
+relay: without one, it counts only its own requests.
 """
 
 from __future__ import annotations
@@ -141,8 +141,8 @@
         if is_own_zone:
             self.for_relays.add(due, samples)
 
-    def forget_old(self, now: float) -> None:
-        """Forget prompts that may be forwarded again, and hosts that are dead."""
+    def remove_expired(self, now: float) -> None:
+        """Remove prompts that may be forwarded again, and hosts that are dead."""
         live = set(self._peers.live(now))
         self._chosen_at = {h: at for h, at in self._chosen_at.items() if h in live}
         self._queued_at = {
@@ -173,10 +173,10 @@
         if host == self._own:
             return True
         if zone != self._zone and not self.is_relay:
-            return True  # Other hosts hear from the relays of their own zone only.
+            return True  # Other hosts receive only from the relays of their own zone.
         chosen_at = self._chosen_at.setdefault(host, now)
-        heard = self._peers.heard_directly(host)
-        return now - max(chosen_at, heard) <= RELAY_TIMEOUT_SECONDS
+        last_heard = self._peers.last_heard_directly(host)
+        return now - max(chosen_at, last_heard) <= RELAY_TIMEOUT_SECONDS
 
     def _rank(self, host: NodeId) -> float:
         """Return a host's rank in the order in which hosts become relays.
--- a/src/rudderpass/gossip/_store_following.py
+++ b/src/rudderpass/gossip/_store_following.py
@@ -12,7 +12,7 @@
 the attainable response value with 7 or 8 hosts, and 0.086 with 71."""
 
 FOLLOWERS = 3
-"""Number of store followers in larger deployments; the other hosts learn from them."""
+"""Number of store followers in larger deployments; they update the other hosts."""
 
 STARTUP_FOLLOWERS = 2 * FOLLOWERS
 """Hosts that follow the store while none has heard from a follower, as after a crash of
@@ -20,8 +20,8 @@
 
 START_SECONDS = 0.8
 """How long a starting host waits for a follower's heartbeat before it calls the store
-itself. Hosts killed together are back within 0.3 s of one another and hear from the
-first followers some 10 ms later; requests are refused meanwhile."""
+itself. Hosts killed together are back within 0.3 s of one another and receive the first
+followers' heartbeats some 10 ms later; requests are refused meanwhile."""
 
 
 class FollowRule:
--- a/src/rudderpass/gossip/_transport.py
+++ b/src/rudderpass/gossip/_transport.py
@@ -27,7 +27,7 @@
 STATE_PATH = "/state"
 PROMPTS_PATH = "/prompts"
 FETCH_SECONDS = 0.8
-"""Time-out for fetching a peer's state; another peer is asked soon after."""
+"""Time-out for fetching a peer's state; another peer is queried soon after."""
 
 MAX_DATAGRAM_BYTES = 60_000
 
@@ -52,7 +52,7 @@
     :param on_error: called with each error in sending or receiving.
     :param state: returns what a peer is missing, given the offsets of its configuration
         and of its list of upstreams.
-    :param prompts: returns the prompts that this host believes to be cached.
+    :param prompts: returns the prompts that this host assumes to be cached.
 
     .. versionadded:: 0.2
     """
@@ -125,7 +125,7 @@
     def fetch(
         self, peer: NodeId, config_offset: int, upstreams_end: int
     ) -> DirectoryState:
-        """Return the changes that a peer knows beyond these offsets.
+        """Return the changes that a peer has beyond these offsets.
 
         :raises PeerError: when it does not answer, or not with a valid state.
         """
@@ -133,7 +133,7 @@
         return decode_state(self._fetch(peer, path))
 
     def fetch_prompts(self, peer: NodeId) -> tuple[SentPrompt, ...]:
-        """Return the prompts that a peer believes to be cached.
+        """Return the prompts that a peer assumes to be cached.
 
         :raises PeerError: when it does not answer, or not with valid prompts.
         """
--- a/src/rudderpass/host/_admin.py
+++ b/src/rudderpass/host/_admin.py
@@ -48,14 +48,14 @@
 def make_ready_server(address: str, is_ready: Callable[[], bool]) -> HttpServer:
     """Return the server for the load balancer's readiness checks."""
 
-    def answer(
+    def respond(
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         if is_ready():
             return _reply(start_response, HTTPStatus.OK, b"ready\n")
         return _reply(start_response, HTTPStatus.SERVICE_UNAVAILABLE, b"not ready\n")
 
-    return HttpServer(answer, address, _LIMITS)
+    return HttpServer(respond, address, _LIMITS)
 
 
 def make_metrics_server(
@@ -63,7 +63,7 @@
 ) -> HttpServer:
     """Return the operators' server: quarantine, and metrics on all other paths."""
 
-    def answer(
+    def respond(
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         path = environ.get("PATH_INFO")
@@ -76,7 +76,7 @@
             return _reply(start_response, status, f"{text}\n".encode())
         return _reply(start_response, HTTPStatus.OK, expose())
 
-    return HttpServer(answer, address, _LIMITS)
+    return HttpServer(respond, address, _LIMITS)
 
 
 def _lift(
--- a/src/rudderpass/host/_duties.py
+++ b/src/rudderpass/host/_duties.py
@@ -62,8 +62,8 @@
 
     :param name: the host's name on the platform.
     :param own: the host's peer address.
-    :param surroundings: returns what the host knows of itself and its peers; called
-        with the lock held.
+    :param read_view: returns the host's view of itself and its peers; called with the
+        lock held.
     :param stopping: set when the host stops.
 
     .. versionadded:: 0.2
@@ -77,7 +77,7 @@
         own: NodeId,
         core: ExchangeCore,
         lock: threading.RLock,
-        surroundings: Callable[[float], ClusterView],
+        read_view: Callable[[float], ClusterView],
         stopping: threading.Event,
     ) -> None:
         now, wall = _clock.now(), time.time()
@@ -88,24 +88,24 @@
         self._own = own
         self._core = core
         self._lock = lock
-        self._surroundings = surroundings
+        self._read_view = read_view
         self._stopping = stopping
         self._clock = WindowClock(settings.window, now, wall)
         self._counter = UsageCounter(self._clock, start)
         self._usage_tracker = UsageTracker()
         self._reports_usage = settings.reports_usage
-        rule = ReportPolicy(settings.report_delay)
+        policy = ReportPolicy(settings.report_delay)
         reports = self._reports = UsageReports(
-            rule, self._clock, self._usage_tracker, now
+            policy, self._clock, self._usage_tracker, now
         )
         makes_orders = settings.order_mode is not OrderMode.OFF
         makes_orders = makes_orders and settings.orders_upstreams
         self._orders = ScaleOrders() if makes_orders else None
         self._is_dry_run = settings.order_mode is OrderMode.DRY_RUN
         self._most_upstreams = settings.most_upstreams
-        self._keeper = DutyCoordinator(
+        self._coordinator = DutyCoordinator(
             holder,
-            HolderElection(holder, settings.holding, now),
+            HolderElection(holder, settings.lease_policy, now),
             reports if settings.reports_usage else None,
             self._orders,
         )
@@ -114,14 +114,14 @@
         self._thread: threading.Thread | None = None
 
     @property
-    def news(self) -> DutyStatus:
+    def status(self) -> DutyStatus:
         """Duty status for peers; read it with the lock held."""
-        return self._keeper.status
+        return self._coordinator.status
 
     @property
     def token(self) -> FencingToken | None:
         """The fencing token of this host; None if it does not hold the duties."""
-        return self._keeper.token
+        return self._coordinator.token
 
     @property
     def reports_waiting(self) -> int:
@@ -141,7 +141,7 @@
     @property
     def holds(self) -> bool:
         """Whether this host holds the duties."""
-        return self._keeper.token is not None
+        return self._coordinator.token is not None
 
     def record_started(self, team: TeamId | None, moment: float) -> None:
         """Count a request that started to run at ``moment``."""
@@ -152,7 +152,7 @@
     def receive(self, heartbeat: Heartbeat, now: float) -> None:
         """Apply a peer's heartbeat; call with the lock held."""
         if heartbeat.duty is not None:
-            self._keeper.receive(heartbeat.duty, heartbeat.stopping, now)
+            self._coordinator.receive(heartbeat.duty, heartbeat.stopping, now)
             self._remove_before(heartbeat.duty.settled_before)
         if heartbeat.usage is not None:
             self._usage_tracker.merge(heartbeat.sender, heartbeat.usage)
@@ -170,13 +170,13 @@
         """Update the state of the duties and wake the thread for due calls."""
         with self._lock:
             self._clock.adjust(now, time.time())
-            surroundings = self._surroundings(now)
-            previous_token = self._keeper.token
-            self._keeper.tick(surroundings, now)
+            view = self._read_view(now)
+            previous_token = self._coordinator.token
+            self._coordinator.tick(view, now)
             if self.holds:
-                self._remove_before(self._keeper.status.settled_before)
+                self._remove_before(self._coordinator.status.settled_before)
                 self._update_orders(now)
-            is_due = self._keeper.next_action(surroundings, now) is not None
+            is_due = self._coordinator.next_action(view, now) is not None
         self._log_change(previous_token)
         if is_due:
             self._start_thread()
@@ -233,8 +233,8 @@
         """Make the next call that is due; return whether there was one."""
         now = _clock.now()
         with self._lock:
-            previous_token = self._keeper.token
-            action = self._keeper.next_action(self._surroundings(now), now)
+            previous_token = self._coordinator.token
+            action = self._coordinator.next_action(self._read_view(now), now)
         if action is None or self._stopping.is_set():
             return False
         self._perform(action)
@@ -253,19 +253,19 @@
             self._record_log_failure(False, error)
             return
         with self._lock:
-            self._keeper.record_log(read_duty_log(page), _clock.now())
+            self._coordinator.record_log(read_duty_log(page), _clock.now())
 
     @_perform.register
     def _(self, action: WriteClaim) -> None:
         if self._append(action.end, HOLDER_KEY, encode_duty_holder(action.holder)):
             with self._lock:
-                self._keeper.record_claim(action, _clock.now())
+                self._coordinator.record_claim(action, _clock.now())
 
     @_perform.register
     def _(self, action: WriteUsage) -> None:
         if self._append(action.end, USAGE_KEY, encode_settled_usage(action.usage)):
             with self._lock:
-                self._keeper.record_usage_written(action)
+                self._coordinator.record_usage_written(action)
 
     @_perform.register
     def _(self, action: SendReport) -> None:
@@ -285,41 +285,41 @@
             age=round(age, 3),
         )
         with self._lock:
-            self._keeper.record_report_result(action, result, _clock.now())
+            self._coordinator.record_report_result(action, result, _clock.now())
 
     @_perform.register
     def _(self, action: SendOrder) -> None:
-        subject = action.group
+        group = action.group
         result, word = CallResult.DONE, "not sent, dry run"
         if not self._is_dry_run:
             result = self._access.platform.set_desired_count(
-                self._name, action.token, subject, action.count
+                self._name, action.token, group, action.count
             )
             word = result.value
-        kind = "cheap" if subject.is_spot else "usual"
+        kind = "cheap" if group.is_spot else "usual"
         with self._lock:
-            inputs = self._describe_order(subject)
+            inputs = self._describe_order(group)
         log(
             "duty",
-            f"{action.count} {kind} upstreams of {subject.service}"
-            f" in {subject.zone}: {word}.",
-            service=subject.service,
-            zone=subject.zone,
-            spot=subject.is_spot,
+            f"{action.count} {kind} upstreams of {group.service}"
+            f" in {group.zone}: {word}.",
+            service=group.service,
+            zone=group.zone,
+            spot=group.is_spot,
             count=action.count,
             token=action.token,
             result=result.name.lower(),
             **inputs,
         )
         with self._lock:
-            self._keeper.record_order_result(action, result, _clock.now())
+            self._coordinator.record_order_result(action, result, _clock.now())
 
-    def _describe_order(self, subject: ScalingGroup) -> dict[str, float]:
+    def _describe_order(self, group: ScalingGroup) -> dict[str, float]:
         """Return the inputs of a scaling decision; call with the lock held."""
         assert self._orders is not None
         return {
-            "seen": self._orders.count_present(subject),
-            "peak_busy": round(self._orders.peak_busy(subject.service), 2),
+            "seen": self._orders.count_present(group),
+            "peak_busy": round(self._orders.peak_busy(group.service), 2),
             "list_age": round(self._core.directory.list_age(_clock.now()), 3),
         }
 
@@ -335,14 +335,16 @@
             self._record_log_failure(True, None)
         return is_written
 
-    def _record_log_failure(self, is_passed: bool, error: PlatformError | None) -> None:
+    def _record_log_failure(
+        self, is_conflict: bool, error: PlatformError | None
+    ) -> None:
         reason = "another host has written to it" if error is None else error.show()
         log("duty", "the log of the duties failed.", error=reason)
         with self._lock:
-            self._keeper.record_log_failure(is_passed, _clock.now())
+            self._coordinator.record_log_failure(is_conflict, _clock.now())
 
     def _log_change(self, previous_token: FencingToken | None) -> None:
-        token = self._keeper.token
+        token = self._coordinator.token
         if token == previous_token:
             return
         word = "lost" if token is None else f"held with token {token}"
--- a/src/rudderpass/host/_duty_access.py
+++ b/src/rudderpass/host/_duty_access.py
@@ -50,7 +50,7 @@
         """Report the usage of one window."""
 
     def set_desired_count(
-        self, holder: str, token: FencingToken, subject: ScalingGroup, count: int
+        self, holder: str, token: FencingToken, group: ScalingGroup, count: int
     ) -> CallResult:
         """Order ``count`` upstreams."""
 
--- a/src/rudderpass/host/_gossip_protocol.py
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -33,9 +33,9 @@
 
 HEARTBEATS_PER_PRESENCE = 2
 """With relays, one heartbeat in so many also announces this host beyond the relays. A
-store follower announces itself to all hosts, which replace a follower not heard for
-1.2 s. A relay announces itself to the hosts that it does not serve, which stop using a
-relay not heard for 1.5 s."""
+store follower announces itself to all hosts, which replace a follower not heard from
+for 1.2 s. A relay announces itself to the hosts that it does not serve, which stop
+using a relay not heard from for 1.5 s."""
 
 HEARTBEATS_PER_MEMBER_LIST = 4
 """Number of digests, sent within one second, that together list all hosts of the other
@@ -85,7 +85,7 @@
         self._peer_table = peer_table
         self._is_current = is_current
         self._read_duty = read_duty
-        self._relaying = RelayRole(own, zone, link_mbps, peer_table)
+        self._relay_role = RelayRole(own, zone, link_mbps, peer_table)
         self._rng = random.Random(own)
         self._heartbeat_numbers: dict[NodeId, int] = {}
         self._heartbeat_number = 0
@@ -93,7 +93,7 @@
     @property
     def is_relay(self) -> bool:
         """Whether this host is a relay, which aggregates the reports of its zone."""
-        return self._relaying.is_relay
+        return self._relay_role.is_relay
 
     def make_greeting(self, now: float, is_relayed: bool) -> Heartbeat:
         """Return a heartbeat for a peer that may not know this host."""
@@ -131,10 +131,10 @@
             rate_limits=rate_limits,
         )
         if not is_relayed:
-            self._core.loads.is_relay = self._relaying.is_relay = False
+            self._core.loads.is_relay = self._relay_role.is_relay = False
             return [Message(heartbeat, self._peer_table.targets(now))]
-        relays = self._relaying.choose_zone_relays(now)
-        self._core.loads.is_relay = self._relaying.is_relay
+        relays = self._relay_role.choose_zone_relays(now)
+        self._core.loads.is_relay = self._relay_role.is_relay
         messages = [
             Message(heartbeat, [relay for relay in relays if relay != self._own]),
             Message(
@@ -142,8 +142,8 @@
                 self._presence_targets(relays, has_store_update, now),
             ),
         ]
-        if self._relaying.is_relay:
-            self._relaying.enqueue(True, heartbeat.prompts, heartbeat.streams, now)
+        if self._relay_role.is_relay:
+            self._relay_role.enqueue(True, heartbeat.prompts, heartbeat.streams, now)
             messages += self._compose_digests(relays, suspects, rate_limits, now)
         return [message for message in messages if message.targets]
 
@@ -154,12 +154,12 @@
             self._heartbeat_numbers[heartbeat.sender] = heartbeat.number
             self._core.record_peer_load(
                 heartbeat.sender,
-                LoadReport(heartbeat.loads, heartbeat.reading),
+                LoadReport(heartbeat.loads, heartbeat.prefill_rates),
                 heartbeat.zone,
                 now,
             )
         self._core.record_peer_updates(heartbeat.prompts, heartbeat.streams, now)
-        self._core.quarantine.merge(heartbeat.suspects, self._relaying.is_relay, now)
+        self._core.quarantine.merge(heartbeat.suspects, self._relay_role.is_relay, now)
         for upstream, rate in self._core.rate_limits.merge(heartbeat.rate_limits, now):
             log_rate_limit(upstream, rate, heartbeat.sender)
         for upstream in heartbeat.leaving:
@@ -167,16 +167,16 @@
                 log_leaving(upstream, heartbeat.sender)
         if heartbeat.digest is not None:
             self._receive_digest(heartbeat.digest, heartbeat.zone, now)
-        if self._relaying.is_relay:
+        if self._relay_role.is_relay:
             is_own_zone = heartbeat.zone == self._zone
-            self._relaying.enqueue(
+            self._relay_role.enqueue(
                 is_own_zone, heartbeat.prompts, heartbeat.streams, now
             )
         return is_new
 
     def remove_expired(self, now: float) -> None:
         """Remove expired entries."""
-        self._relaying.forget_old(now)
+        self._relay_role.remove_expired(now)
         live = set(self._peer_table.live(now))
         self._heartbeat_numbers = {
             h: number for h, number in self._heartbeat_numbers.items() if h in live
@@ -186,12 +186,12 @@
         self, digest: Digest, zone: AvailabilityZone | None, now: float
     ) -> None:
         self._peer_table.merge_digest(digest, now)
-        work = LoadReport(digest.loads, digest.reading)
+        report = LoadReport(digest.loads, digest.prefill_rates)
         if digest.covers_all_zones and zone == self._zone:
             number = digest.find_number(self._own, self._zone)
-            self._core.loads.record_total(work, number, now)
+            self._core.loads.record_total(report, number, now)
         elif not digest.covers_all_zones and zone is not None and zone != self._zone:
-            self._core.loads.record_zone(zone, work, now)
+            self._core.loads.record_zone(zone, report, now)
 
     def _presence_targets(
         self, relays: list[NodeId], has_store_update: bool, now: float
@@ -202,7 +202,7 @@
             return targets
         if has_store_update or self._is_current(now) or self._holds_duties:
             hosts = self._peer_table.live(now)
-        elif self._relaying.is_relay:
+        elif self._relay_role.is_relay:
             hosts = [
                 host
                 for host in self._peer_table.live_in(self._zone, now)
@@ -214,7 +214,7 @@
 
     @property
     def _holds_duties(self) -> bool:
-        """Whether this host holds the duties; others replace a holder not heard."""
+        """Whether this host holds the duties; others replace a silent holder."""
         duty = self._read_duty()
         return duty is not None and duty.holds
 
@@ -237,29 +237,29 @@
                 for host in hosts
             ),
         )
-        prompts, streams = self._relaying.for_relays.drain()
-        work = self._core.loads.sum_zone(self._zone, now)
+        prompts, streams = self._relay_role.for_relays.drain()
+        total = self._core.loads.sum_zone(self._zone, now)
         for_relays = self._make_heartbeat(
             now,
             suspects=suspects,
             prompts=prompts,
             streams=streams,
-            digest=Digest(False, {self._zone: members}, work.loads, work.reading),
+            digest=Digest(False, {self._zone: members}, total.loads, total.reading),
             rate_limits=rate_limits,
         )
-        prompts, streams = self._relaying.for_zone.drain()
-        work = self._core.loads.sum_all(now)
+        prompts, streams = self._relay_role.for_zone.drain()
+        total = self._core.loads.sum_all(now)
         named = {self._zone: members, **self._describe_others(now)}
         for_zone = self._make_heartbeat(
             now,
             suspects=suspects,
             prompts=prompts,
             streams=streams,
-            digest=Digest(True, named, work.loads, work.reading),
+            digest=Digest(True, named, total.loads, total.reading),
             rate_limits=rate_limits,
         )
         return [
-            Message(for_relays, self._relaying.choose_remote_relays(now)),
+            Message(for_relays, self._relay_role.choose_remote_relays(now)),
             Message(for_zone, self._hosts_served(hosts, relays)),
         ]
 
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -51,7 +51,7 @@
 
 IDLE_MARGIN_SECONDS = 2
 """Added to the configured idle timeout, since a caller may reuse a connection just
-before it ends."""
+before it times out."""
 
 
 @dataclass(frozen=True)
@@ -117,9 +117,9 @@
         self._duties = self._make_duties()
         self._connections = UpstreamConnectionPool()
         self._metrics = HostMetrics(self._read_gauges, lambda: self._directory.unusable)
-        self._informed = threading.Event()
+        self._state_complete = threading.Event()
         self._initialized = threading.Event()
-        parts = ExchangeContext(
+        context = ExchangeContext(
             self._core,
             self._lock,
             self._connections,
@@ -131,7 +131,7 @@
             lambda: self._suspension_recovery.check(),
             self._record_started,
         )
-        self._app = ExchangeApp(parts)
+        self._app = ExchangeApp(context)
         self._caller_server = HttpServer(
             self._app, settings.listen, CALLER_SERVER_LIMITS, listener=listener
         )
@@ -310,7 +310,7 @@
             self._peers.address,
             self._core,
             self._lock,
-            self._peers.read_surroundings,
+            self._peers.read_view,
             self._stopping,
         )
 
@@ -331,10 +331,10 @@
 
     def _record_store_update(self, learned: list[DirectoryChange]) -> None:
         """Apply a store update, and announce it to dependent hosts at once."""
-        was_informed = self._informed.is_set()
+        was_complete = self._state_complete.is_set()
         self._record_learned(learned)
         if learned:
-            is_first = not was_informed and self._informed.is_set()
+            is_first = not was_complete and self._state_complete.is_set()
             self._peers.send_store_update(is_first, _clock.now())
 
     def _record_learned(self, learned: list[DirectoryChange]) -> None:
@@ -347,7 +347,7 @@
                 believed_for=change.believed_for,
             )
         if self._directory.is_complete:
-            self._informed.set()
+            self._state_complete.set()
             if not self._core.is_stale:
                 self._initialized.set()
         config = self._directory.config
--- a/src/rudderpass/host/_metrics.py
+++ b/src/rudderpass/host/_metrics.py
@@ -94,19 +94,19 @@
         self._first_response_times: dict[str, _LatencyHistogram] = {}
         self._exchange_times: dict[str, _LatencyHistogram] = {}
 
-    def record(self, end: ExchangeSummary) -> None:
+    def record(self, summary: ExchangeSummary) -> None:
         """Record a finished exchange."""
         with self._lock:
-            self._exchanges[end.route, end.team, end.outcome] += 1
-            self._sends[end.route] += end.sends
-            self._late_pauses[end.route] += end.late_pauses
-            self._exchange_times.setdefault(end.route, _LatencyHistogram()).add(
-                end.duration
+            self._exchanges[summary.route, summary.team, summary.outcome] += 1
+            self._sends[summary.route] += summary.sends
+            self._late_pauses[summary.route] += summary.late_pauses
+            self._exchange_times.setdefault(summary.route, _LatencyHistogram()).add(
+                summary.duration
             )
-            if end.first_answer is not None:
+            if summary.first_answer is not None:
                 self._first_response_times.setdefault(
-                    end.route, _LatencyHistogram()
-                ).add(end.first_answer)
+                    summary.route, _LatencyHistogram()
+                ).add(summary.first_answer)
 
     def record_retry(self, service: PoolId, retry: RetryDecision) -> None:
         """Count a retry decision, allowed or not."""
@@ -138,13 +138,13 @@
     def _counters(self) -> Iterator[Metric]:
         from prometheus_client.core import CounterMetricFamily
 
-        ends = CounterMetricFamily(
+        exchanges = CounterMetricFamily(
             "rudderpass_exchanges",
             "Exchanges by how they ended for their callers.",
             labels=("route", "team", "ending"),
         )
-        for (route, team, ending), count in self._exchanges.items():
-            ends.add_metric((route, team, ending.name.lower()), count)
+        for (route, team, outcome), count in self._exchanges.items():
+            exchanges.add_metric((route, team, outcome.name.lower()), count)
         sends = CounterMetricFamily(
             "rudderpass_sends",
             "Sends to upstreams, further ones included.",
@@ -173,7 +173,7 @@
         )
         for reason, count in self._unusable().items():
             unusable.add_metric((reason.name.lower(),), count)
-        yield ends
+        yield exchanges
         yield sends
         yield late_pauses
         yield retries
--- a/src/rudderpass/host/_peers.py
+++ b/src/rudderpass/host/_peers.py
@@ -44,7 +44,7 @@
 
 FETCH_SPREAD_SECONDS = 1.0
 """Period over which the hosts of a large deployment spread their fetches of an update.
-Fetching all at once would delay the heartbeats of the hosts asked. Updates must take
+Fetching all at once would delay the heartbeats of the queried hosts. Updates must take
 effect within 2 to 3 s."""
 
 
@@ -56,8 +56,8 @@
     :param link_mbps: bandwidth of its link, Mbit/s.
     :param seeds: addresses of some peers; they may be stale.
     :param on_learned: called with the changes fetched from a peer.
-    :param on_confirmed: called when a peer that follows the store knows no more than
-        this host.
+    :param on_confirmed: called when a peer that follows the store has no newer state
+        than this host.
 
     .. versionadded:: 0.2
     """
@@ -105,7 +105,7 @@
             core,
             self._peer_table,
             lambda now: self._follower is not None and self._follower.is_current(now),
-            lambda: None if self._duties is None else self._duties.news,
+            lambda: None if self._duties is None else self._duties.status,
         )
 
     @property
@@ -140,7 +140,7 @@
         self._greet_silent(_clock.now())
 
     def add_peers(self, peers: Iterable[NodeId]) -> None:
-        """Add the peers listed in the store, and greet those not heard yet.
+        """Add the peers listed in the store, and greet those not heard from yet.
 
         :param peers: empty if the store does not answer.
         """
@@ -158,7 +158,7 @@
         self._transport.close()
 
     def wait(self, seconds: float) -> None:
-        """Wait until work is due, for ``seconds`` at most."""
+        """Wait until something is due, for ``seconds`` at most."""
         if not self._wake.wait(seconds):
             return
         self._wake.clear()
@@ -173,12 +173,13 @@
         )
         self._wake.set()
 
-    def read_surroundings(self, now: float) -> ClusterView:
+    def read_view(self, now: float) -> ClusterView:
         """Return the host's view for the duties; call with the lock held."""
-        has_heard = self._follower is not None and self._follower.answered_within(
-            now, CANDIDATE_SECONDS
+        has_store_contact = (
+            self._follower is not None
+            and self._follower.answered_within(now, CANDIDATE_SECONDS)
         )
-        is_candidate = has_heard and not self._core.is_stopping
+        is_candidate = has_store_contact and not self._core.is_stopping
         return ClusterView(
             (self.address, *self._peer_table.live(now)),
             self._peer_table.last_heard,
@@ -246,7 +247,7 @@
 
     @property
     def _receives_store_updates(self) -> bool:
-        """Whether the store will soon send this host what its peers know.
+        """Whether the store will soon send this host the state of its peers.
 
         A host without complete state does not count, since it may be in a backoff
         after failed calls.
@@ -270,7 +271,7 @@
         self._follower.set_active(follows, self._is_large)
 
     def _greet_silent(self, now: float) -> None:
-        """Greet peers that have not been heard; a live one answers at once."""
+        """Greet peers that are not live; one that is up answers at once."""
         with self._lock:
             heartbeat = self._protocol.make_greeting(now, self._is_relayed)
             targets = self._peer_table.silent(now)
@@ -313,8 +314,8 @@
                 self._protocol.make_greeting(now, self._is_relayed) if is_new else None
             )
             if heartbeat.following:
-                heard = now - STALE_AFTER_SECONDS
-                self._directory.record_list_confirmed(heartbeat.upstreams_end, heard)
+                as_of = now - STALE_AFTER_SECONDS
+                self._directory.record_list_confirmed(heartbeat.upstreams_end, as_of)
             is_behind = (
                 heartbeat.config_offset > self._directory.config_offset
                 or heartbeat.upstreams_end > self._directory.upstreams_end
@@ -325,7 +326,7 @@
         if heartbeat.following and not is_behind:
             self._on_confirmed(now)
         if greeting is not None:
-            # A starting host waits for this answer to learn which peers it can ask.
+            # A starting host waits for this greeting to learn which peers it can query.
             self._send_heartbeat(greeting, [heartbeat.sender])
             log("peer", f"{heartbeat.sender} is now live.", peer=heartbeat.sender)
 
--- a/src/rudderpass/host/_registry.py
+++ b/src/rudderpass/host/_registry.py
@@ -1,7 +1,7 @@
 """Records of hosts in the platform's store: their addresses and quarantines.
 
-Hosts normally learn both from their peers. The store is for the case that no peer is
-left that knows them.
+Hosts normally learn both from their peers. The store serves hosts that find no peer
+with these records.
 """
 
 from __future__ import annotations
--- a/src/rudderpass/host/_settings.py
+++ b/src/rudderpass/host/_settings.py
@@ -25,7 +25,7 @@
     :param platform: ``ip:port`` of the platform's API.
     :param reports_usage: whether usage is reported.
     :param orders_upstreams: whether upstreams are ordered.
-    :param holding: lease and fencing of the duties.
+    :param lease_policy: lease and fencing of the duties.
     :param window: length of a usage report's window.
     :param report_delay: from the end of a window until its report is due.
     :param order_mode: whether operators allow orders.
@@ -36,7 +36,7 @@
     platform: str
     reports_usage: bool
     orders_upstreams: bool
-    holding: LeasePolicy
+    lease_policy: LeasePolicy
     window: float = 5.0
     report_delay: float = 10.0
     order_mode: OrderMode = OrderMode.ON
--- a/src/rudderpass/host/_suspension.py
+++ b/src/rudderpass/host/_suspension.py
@@ -1,7 +1,7 @@
 """Refreshes the state of a host after a suspension of its machine.
 
-What the host knew may be stale by then, so it must not serve requests by it before it
-has been confirmed by the store or by a peer.
+Its state may be stale by then, so the host must not use it to serve requests before the
+store or a peer has confirmed it.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 """Heartbeats read this soon after a suspension may be older than it: they may have
 waited in the socket's queue."""
 
-PEER_ANSWER_SECONDS = 0.3
+PEER_RESPONSE_SECONDS = 0.3
 """Time for peers to answer a greeting. Right after a suspension no peer counts as live,
 so only after this time is it known whether any peer has current state."""
 
 REFRESH_TIMEOUT_SECONDS = 3.0
-"""Time without confirmation after which the host serves by its old state again: it is
-cut off from store and peers, which must not end its service."""
+"""Time without confirmation after which the host serves from its old state again: it is
+cut off from the store and from peers, which must not interrupt its service."""
 
 
 class SuspensionDetector:
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
         self._last_suspended = _clock.suspended_seconds()
 
-    def take_suspended_seconds(self) -> float:
+    def pop_suspended_seconds(self) -> float:
         """Return seconds suspended since the last call; 0 below the minimum."""
         suspended = _clock.suspended_seconds()
         if suspended - self._last_suspended < MIN_SUSPENSION_SECONDS:
@@ -57,12 +57,12 @@
     :param read_store: reads updates from the store; raises PlatformError.
     :param greet_peers: sends a heartbeat to all peers; those that do not count this
         host as live answer.
-    :param has_informed_peer: returns whether any live peer has a configuration.
+    :param has_configured_peer: returns whether any live peer has a configuration.
     """
 
     read_store: Callable[[], None]
     greet_peers: Callable[[float], None]
-    has_informed_peer: Callable[[float], bool]
+    has_configured_peer: Callable[[float], bool]
 
 
 class SuspensionRecovery:
@@ -91,9 +91,9 @@
     def check(self) -> None:
         """Detect a suspension; call before each decision.
 
-        It costs two clock readings.
+        It reads two clocks.
         """
-        suspended_for = self._detector.take_suspended_seconds()
+        suspended_for = self._detector.pop_suspended_seconds()
         if suspended_for <= 0:
             return
         now = _clock.now()
@@ -109,7 +109,7 @@
         threading.Thread(target=self._refresh, name="waking", daemon=True).start()
 
     def record_peer_current(self, now: float) -> None:
-        """Record that a peer that follows the store knows no more than this host."""
+        """Record that a peer that follows the store has no newer state."""
         if self._core.is_stale and now - self._resumed_at > STALE_DATAGRAM_SECONDS:
             self._mark_current("a peer")
 
@@ -128,9 +128,9 @@
                 "reading the store after a suspension failed.",
                 error=error.show(),
             )
-            time.sleep(PEER_ANSWER_SECONDS)
+            time.sleep(PEER_RESPONSE_SECONDS)
             with self._lock:
-                can_wait = self._sources.has_informed_peer(_clock.now())
+                can_wait = self._sources.has_configured_peer(_clock.now())
             if not can_wait:
                 self._mark_current("nobody")
             return
--- a/src/rudderpass/host/_warmup.py
+++ b/src/rudderpass/host/_warmup.py
@@ -1,6 +1,6 @@
 """Learns at the start of a host which prompt parts the upstreams have cached.
 
-Without this knowledge a host sends prompts to upstreams that must prefill them again,
+Without this state a host sends prompts to upstreams that must prefill them again,
 and requests no copies between caches. A peer that has been up for a while knows the
 contents of all caches. When all hosts were restarted at once, each queries some of the
 upstreams and shares the results.
@@ -23,7 +23,7 @@
 from rudderpass.gossip import GossipTransport, PeerTable
 
 LISTEN_SECONDS = 0.6
-"""Time for which a starting host listens before it chooses a peer to ask. A live peer
+"""Time for which a starting host listens before it chooses a peer to query. A live peer
 answers a greeting at once, and heartbeats come twice a second."""
 
 POLL_SECONDS = 0.1
@@ -31,7 +31,7 @@
 """Time without a configuration after which cache contents are no longer useful."""
 
 PartsReader = Callable[[RegisteredUpstream], tuple[PromptPart, ...]]
-"""Asks an upstream which prompt parts it has cached.
+"""Queries an upstream for the prompt parts that it has cached.
 
 :raises UpstreamError: when it does not answer, or has restarted since.
 """
@@ -66,7 +66,7 @@
                 "cache contents not learned, no configuration with engine upstreams.",
             )
         elif not self._fetch_from_peer():
-            self._ask_upstreams()
+            self._query_upstreams()
         with self._parts.lock:
             self._parts.core.is_warm = True
 
@@ -105,16 +105,16 @@
         )
         return True
 
-    def _ask_upstreams(self) -> None:
+    def _query_upstreams(self) -> None:
         with self._parts.lock:
             upstreams = self._parts.core.engine_upstreams()
             live = self._parts.peer_table.live(_clock.now())
         hosts = [self._parts.transport.address, *live]
         for entry in upstreams:
-            if should_ask(self._parts.transport.address, hosts, entry.upstream):
-                self._ask_upstream(entry)
+            if should_query(self._parts.transport.address, hosts, entry.upstream):
+                self._query_upstream(entry)
 
-    def _ask_upstream(self, entry: RegisteredUpstream) -> None:
+    def _query_upstream(self, entry: RegisteredUpstream) -> None:
         try:
             cached = self._parts.read_parts(entry)
         except UpstreamError as error:
@@ -132,7 +132,7 @@
         )
 
 
-def should_ask(own: NodeId, hosts: list[NodeId], upstream: UpstreamId) -> bool:
+def should_query(own: NodeId, hosts: list[NodeId], upstream: UpstreamId) -> bool:
     """Return whether ``own`` is the host that queries an upstream (rendezvous hash)."""
     return own == max(
         hosts, key=lambda host: xxhash.xxh64_intdigest(f"{host} {upstream}".encode())
--- a/src/rudderpass/platform/_settings_file.py
+++ b/src/rudderpass/platform/_settings_file.py
@@ -123,7 +123,7 @@
         platform=cloud.text("address"),
         reports_usage=reports_usage,
         orders_upstreams=orders_upstreams,
-        holding=LeasePolicy(
+        lease_policy=LeasePolicy(
             lease=bounds.number("leaseMs") / _MS,
             thaw_slack=bounds.number("thawSlackMs") / _MS,
             is_fenced=bounds.flag("fencingRequired"),
--- a/tests/duties/test_coordinator.py
+++ b/tests/duties/test_coordinator.py
@@ -144,7 +144,7 @@
         assert counts.get(window) == simulation.started_requests[window]
 
 
-def test_reports_in_the_log_are_repeated_after_all_hosts_are_killed() -> None:
+def test_reports_in_the_log_are_resent_after_all_hosts_are_killed() -> None:
     simulation = DutySimulation(5)
     simulation.run(4.0)
     for host in simulation.hosts.values():
--- a/tests/duties/test_scaling.py
+++ b/tests/duties/test_scaling.py
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("result", [CallResult.REFUSED, CallResult.UNKNOWN])
-def test_an_order_that_was_not_carried_out_is_repeated(result: CallResult) -> None:
+def test_an_order_that_was_not_carried_out_is_retried(result: CallResult) -> None:
     orders = ScaleOrders()
     for now in (0.0, STABLE_SECONDS):
         orders.update([ScaledService(SERVICE, TRAITS, [])], now)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -43,11 +43,19 @@
 def make_heartbeat(
     load: Load,
     streams: tuple[StreamSample, ...] = (),
-    reading: PrefillRate | None = None,
+    prefill_rate: PrefillRate | None = None,
 ) -> Heartbeat:
-    rates = {} if reading is None else {POOL: reading}
+    rates = {} if prefill_rate is None else {POOL: prefill_rate}
     return Heartbeat(
-        SENDER, 3, 9, False, {UPSTREAM: load}, (), (), streams=streams, reading=rates
+        SENDER,
+        3,
+        9,
+        False,
+        {UPSTREAM: load},
+        (),
+        (),
+        streams=streams,
+        prefill_rates=rates,
     )
 
 
@@ -75,7 +83,7 @@
     received = decode_heartbeat(encode_heartbeat(sent), SENDER)
     assert received.loads is not None
     assert received.loads[UPSTREAM].unread_tokens == 2**31 - 1
-    assert received.reading[POOL].other == 2**31 - 1
+    assert received.prefill_rates[POOL].other == 2**31 - 1
 
 
 def test_a_digest_survives_encoding() -> None:
--- a/tests/gossip/test_peer_table.py
+++ b/tests/gossip/test_peer_table.py
@@ -123,7 +123,7 @@
     peers = make_peer_table()
     follower, other, holder, stopping = PEERS[:4]
     for second in range(8):
-        # The first hears from the store every 2.5 s and reports so in some heartbeats.
+        # The first gets a response every 2.5 s and reports so in some heartbeats.
         is_following = second in (0, 2)
         duty = DutyStatus(FencingToken(1))
         for peer in (follower, other, holder, stopping):
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -148,9 +148,9 @@
 
 
 def test_a_truncated_or_too_large_state_is_rejected() -> None:
-    whole = encode_state(STATE)
+    complete = encode_state(STATE)
     with pytest.raises(PeerError, match="truncated"):
-        decode_state(whole[:-1])
+        decode_state(complete[:-1])
     with pytest.raises(PeerError, match="larger than"):
         decode_state(zlib.compress(bytes(MAX_STATE_BYTES + 1)))
 
--- a/tests/host/test_duties.py
+++ b/tests/host/test_duties.py
@@ -29,7 +29,7 @@
 class DutyDeployment:
     """Hosts on a platform with duties, and their callers.
 
-    :ivar request_count: requests that were answered with 200.
+    :ivar request_count: requests with a response of status 200.
     """
 
     deployment: Deployment = field(default_factory=Deployment)
@@ -38,9 +38,9 @@
     request_count: int = 0
 
     def __post_init__(self) -> None:
-        rule = LeasePolicy(lease=3.0, thaw_slack=0.3, is_fenced=True)
+        policy = LeasePolicy(lease=3.0, thaw_slack=0.3, is_fenced=True)
         self.settings = DutySettings(
-            self.cloud.address, True, False, rule, WINDOW, LATE
+            self.cloud.address, True, False, policy, WINDOW, LATE
         )
         self.deployment.publish(1, "k1")
         self.deployment.register()
--- a/tests/host/test_duty_access.py
+++ b/tests/host/test_duty_access.py
@@ -46,15 +46,15 @@
     log = read_duty_log(page(encode_duty_holder(HOLDER), b"\xff\xff"))
     assert log.holder == HOLDER
     assert log.usage == UNREADABLE_USAGE
-    clock, book = WindowClock(5.0, 0.0, 0.0), UsageTracker()
+    clock, usage_tracker = WindowClock(5.0, 0.0, 0.0), UsageTracker()
     counter = UsageCounter(clock, 0)
     for moment in (1.0, 6.0, 11.0):
         counter.record_started(TeamId("crew"), moment)
-    book.merge(HOLDER.host, counter.snapshot(7.0))
-    reports = UsageReports(ReportPolicy(10.0), clock, book, 0.0)
+    usage_tracker.merge(HOLDER.host, counter.snapshot(7.0))
+    reports = UsageReports(ReportPolicy(10.0), clock, usage_tracker, 0.0)
     reports.begin(log.usage, 7.0)
     assert reports.find_settlement([HOLDER.host], 9.0) is None
-    book.merge(HOLDER.host, counter.snapshot(16.5))
+    usage_tracker.merge(HOLDER.host, counter.snapshot(16.5))
     settled = reports.find_settlement([HOLDER.host], 16.5)
     assert settled is not None
     assert [usage.window for usage in settled.windows] == [2]
--- a/tests/host/test_host.py
+++ b/tests/host/test_host.py
@@ -242,7 +242,7 @@
 
 def test_a_starting_host_learns_cache_contents(deployment: Deployment) -> None:
     def list_cached(
-        upstream: FakeUpstream, connection: object, asked: ReceivedRequest
+        upstream: FakeUpstream, connection: object, request: ReceivedRequest
     ) -> None:
         body = json.dumps({"epoch": 1, "held": [["", "ab", 800, "m"]]}).encode()
         length = f"Content-Length: {len(body)}\r\n\r\n".encode()
@@ -254,7 +254,7 @@
     deployment.register()
     first = deployment.start()
     wait_for(lambda: first.is_warm)
-    assert [asked.line for asked in deployment.upstream.received] == [
+    assert [request.line for request in deployment.upstream.received] == [
         "GET /-/kv-list HTTP/1.1"
     ]
     second = deployment.start(first.peer_address)
@@ -283,10 +283,10 @@
 
 def test_a_shutdown_waits_for_requests_in_flight(deployment: Deployment) -> None:
     def slow(
-        upstream: FakeUpstream, connection: object, asked: ReceivedRequest
+        upstream: FakeUpstream, connection: object, request: ReceivedRequest
     ) -> None:
         time.sleep(0.4)
-        answer()(upstream, connection, asked)  # type: ignore[arg-type]
+        answer()(upstream, connection, request)  # type: ignore[arg-type]
 
     deployment.upstream.close()
     deployment.upstream = FakeUpstream(slow)
@@ -306,7 +306,7 @@
 
 
 def list_calls(store: StandInStore) -> list[str]:
-    """Return the calls that read or write whole lists; long polls are left out."""
+    """Return the calls that read or write complete lists; long polls are left out."""
     return [call for call in store.calls if call != "/-/log-read"]
 
 
--- a/tests/host/test_rate_limits.py
+++ b/tests/host/test_rate_limits.py
@@ -20,7 +20,7 @@
 from tests.host.fleet import Fleet, FleetHost
 
 PROPAGATION_SECONDS = 3.0
-"""Time from the first answer with a limit until all hosts must apply it."""
+"""Time from the first response with a limit until all hosts must apply it."""
 
 WINDOW_SECONDS = 4.0
 EXCESS_FACTOR = 1.5
@@ -31,7 +31,7 @@
 """Host counts below and above the threshold for using relays."""
 
 STEP_SECONDS = 0.02
-ANSWER_SECONDS = 0.1
+RESPONSE_SECONDS = 0.1
 
 
 @dataclass
@@ -57,7 +57,7 @@
         until = self.fleet.now + seconds
         while self.fleet.now < until:
             self.fleet.run(STEP_SECONDS)
-            self._answer()
+            self._respond()
             if self.rng.random() < self.requests_per_second * STEP_SECONDS:
                 self._send(self.rng.choice(self.fleet.up()))
 
@@ -78,9 +78,9 @@
             self.refusals.append(assigned)
             return
         self.sends[assigned.upstream].append(now)
-        self.in_flight.append((now + ANSWER_SECONDS, host, assigned))
+        self.in_flight.append((now + RESPONSE_SECONDS, host, assigned))
 
-    def _answer(self) -> None:
+    def _respond(self) -> None:
         now = self.fleet.now
         due = [item for item in self.in_flight if item[0] <= now]
         self.in_flight = [item for item in self.in_flight if item[0] > now]
--- a/tests/host/test_suspension.py
+++ b/tests/host/test_suspension.py
@@ -1,9 +1,9 @@
-"""A host whose machine was suspended does not serve by stale state.
+"""A host whose machine was suspended does not serve from stale state.
 
 A machine may be suspended for seconds, which the monotonic clock does not count. With
 ages measured by that clock, after 20 s a list 20 s old counts as current, a revoked key
 is accepted, and a drain that has ended still runs. A clock that counts suspensions is
-not enough: a host that does not detect the suspension serves by its stale state until
+not enough: a host that does not detect the suspension serves from its stale state until
 the next update happens to arrive.
 """
 
@@ -42,12 +42,12 @@
     def read(clock: int) -> float:
         return real(clock) + (suspended_for if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    def sleep(seconds: float = SUSPENDED_SECONDS) -> None:
+    def advance(seconds: float = SUSPENDED_SECONDS) -> None:
         nonlocal suspended_for
         suspended_for += seconds
 
     monkeypatch.setattr(time, "clock_gettime", read)
-    return sleep
+    return advance
 
 
 @pytest.fixture
--- a/tests/platform/test_settings_file.py
+++ b/tests/platform/test_settings_file.py
@@ -116,8 +116,8 @@
     assert duties is not None
     assert duties.platform == "10.200.0.113:8424"
     assert duties.reports_usage and duties.orders_upstreams
-    assert duties.holding.is_fenced
-    assert (duties.holding.lease, duties.holding.thaw_slack) == (3.0, 0.3)
+    assert duties.lease_policy.is_fenced
+    assert (duties.lease_policy.lease, duties.lease_policy.thaw_slack) == (3.0, 0.3)
     assert (duties.window, duties.report_delay) == (5.0, 10.0)
 
 
--- a/tests/quarantine/test_tracker.py
+++ b/tests/quarantine/test_tracker.py
@@ -68,7 +68,7 @@
             VerdictKind.QUARANTINED,
         ),
     ],
-    ids=["answered", "silent", "two", "three", "doubtful", "four"],
+    ids=["responding", "silent", "two", "three", "partly silent", "four"],
 )
 def test_the_verdict_follows_the_crashes(
     crashes: list[object], verdict: VerdictKind
