--- a/src/rudderpass/_ids.py
+++ b/src/rudderpass/_ids.py
@@ -17,7 +17,7 @@
 """Shared by all retries of one request, whose ids differ."""
 
 UpstreamId = NewType("UpstreamId", str)
-"""One instance of an upstream: a restart discards its state and what is known of it."""
+"""One instance of an upstream: a restart discards its state and all records of it."""
 
 UpstreamName = NewType("UpstreamName", str)
 """The id under which an upstream registers; it may keep the id when it restarts."""
--- a/src/rudderpass/cli/_logs.py
+++ b/src/rudderpass/cli/_logs.py
@@ -119,10 +119,10 @@
     occupancy = find_occupancy(_read_all(files), upstream, at)
     counts: Counter[tuple[int, int, int | None, InFlightState]] = Counter()
     tokens: Counter[tuple[int, int, int | None, InFlightState]] = Counter()
-    for occupant in occupancy.requests:
-        key = (occupant.rank, occupant.route_tier, occupant.team_tier, occupant.state)
+    for request in occupancy.requests:
+        key = (request.rank, request.route_tier, request.team_tier, request.state)
         counts[key] += 1
-        tokens[key] += occupant.tokens
+        tokens[key] += request.tokens
     for key in sorted(counts, key=lambda key: (key[0], key[1], key[3].value)):
         rank, route_tier, team_tier, state = key
         team = "none" if team_tier is None else team_tier
--- a/src/rudderpass/declarations/_objects.py
+++ b/src/rudderpass/declarations/_objects.py
@@ -76,7 +76,7 @@
 
     @property
     def start_target(self) -> float:
-        """Seconds from arrival within which work should start."""
+        """Seconds from arrival within which a request should start."""
         if self.targets.first_token_seconds is not None:
             return self.targets.first_token_seconds
         assert self.targets.whole_answer_seconds is not None
--- a/src/rudderpass/demo/_checks.py
+++ b/src/rudderpass/demo/_checks.py
@@ -103,7 +103,7 @@
 
 
 def _check_tiers(catalog: Catalog, answers: Sequence[Answer]) -> Promise:
-    """Check that no request is shed while lower-tier work waits in its pool."""
+    """Check that no request is shed while a lower-tier request waits in its pool."""
     promise = Promise("no higher tier is shed to serve a lower one")
     answers_with_pool = [
         (answer, _pool_and_tier(catalog, answer)) for answer in answers
--- a/src/rudderpass/directory/_directory.py
+++ b/src/rudderpass/directory/_directory.py
@@ -20,7 +20,7 @@
     describe_removal,
 )
 from rudderpass.directory._reader import Decoders, RecordReader
-from rudderpass.directory._retention import DRAIN_BOUND_SECONDS, RetentionRule
+from rudderpass.directory._retention import DRAIN_BOUND_SECONDS, RetentionPolicy
 from rudderpass.directory._upstreams import (
     RegisteredUpstream,
     UpstreamList,
@@ -29,7 +29,7 @@
 from rudderpass.errors import UnusableReason
 
 MAX_RECENT_CHANGES = 200
-"""Changes of the list kept for peers; one that missed more gets the whole list."""
+"""Changes of the list kept for peers; one that missed more gets the complete list."""
 
 
 class Directory:
@@ -54,7 +54,7 @@
         self._config_record: KeyedRecord | None = None
         self._config_end = 0
         self._upstreams = UpstreamList()
-        self._retention = RetentionRule(drain_bound)
+        self._retention = RetentionPolicy(drain_bound)
         self._has_list = False
         self._recent_changes: deque[KeyedRecord] = deque()
         self._changes_from = 0
@@ -108,15 +108,15 @@
         """Number of upstreams that are retained although their entries ended."""
         return self._upstreams.expiring_count
 
-    def takes_work(self, upstream: UpstreamId, now: float) -> bool:
+    def accepts_requests(self, upstream: UpstreamId, now: float) -> bool:
         """Return whether a chosen upstream still accepts new requests."""
         self.expire(now)
-        return self._upstreams.takes_work(upstream)
+        return self._upstreams.accepts_requests(upstream)
 
-    def is_leaving_or_gone(self, upstream: UpstreamId, now: float) -> bool:
+    def is_leaving_or_removed(self, upstream: UpstreamId, now: float) -> bool:
         """Return whether an upstream is leaving, is expiring, or is not listed."""
         self.expire(now)
-        return self._upstreams.is_leaving_or_gone(upstream)
+        return self._upstreams.is_leaving_or_removed(upstream)
 
     @property
     def reported_leaving(self) -> list[UpstreamId]:
@@ -220,7 +220,7 @@
     def apply_upstream_list(
         self, records: Iterable[KeyedRecord], end: int, source: str, now: float
     ) -> list[DirectoryChange]:
-        """Replace the list by the whole list as of offset ``end``."""
+        """Replace the list by the complete list as of offset ``end``."""
         changes = self._apply_list(
             records, end, source, self._retention.retain_until(now), now
         )
@@ -287,7 +287,7 @@
         if state.changes_from > self._upstreams.end:
             return []  # Records between the two offsets are missing.
         if state.changes_from == 0:
-            self._has_list = True  # All changes since offset 0 are the whole list.
+            self._has_list = True  # Changes since offset 0 are the full list.
         new_records = [
             record for record in state.upstreams if record.offset >= self._upstreams.end
         ]
@@ -312,7 +312,7 @@
         return replace(state, upstreams=changes, changes_from=upstreams_end)
 
     def state(self, now: float) -> DirectoryState:
-        """Return the whole state, for a peer."""
+        """Return the complete state, for a peer."""
         upstreams = tuple(
             KeyedRecord(record.offset, upstream, record.raw)
             for upstream, record in self._upstreams.records.items()
--- a/src/rudderpass/directory/_follower.py
+++ b/src/rudderpass/directory/_follower.py
@@ -108,7 +108,7 @@
 class _TopicState:
     """State of one topic's thread.
 
-    :ivar is_listed: whether the whole list was read, so that reading changes suffices.
+    :ivar is_listed: whether the complete list was read, so that changes suffice.
     :ivar is_responding: whether the last call was answered.
     :ivar backoff: seconds from the start of the next failing call to the one after it.
     """
--- a/src/rudderpass/directory/_messages.py
+++ b/src/rudderpass/directory/_messages.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class DirectoryState:
-    """A directory's whole state, as peers exchange it.
+    """A directory's complete state, as peers exchange it.
 
     :param config: the newest configuration record, if any.
     :param upstreams: the records of all listed upstreams.
@@ -45,14 +45,14 @@
     """One change of a directory, for the log.
 
     :param text: the start of the log line.
-    :param believed_for: seconds for which an upstream whose entry ended is still
+    :param retained_for: seconds for which an upstream whose entry ended is still
         retained; None where no entry ended.
     """
 
     text: str
     source: str
     offset: int
-    believed_for: float | None = None
+    retained_for: float | None = None
 
 
 def describe_registration(
@@ -70,8 +70,8 @@
 
 
 def describe_removal(
-    upstream: str, source: str, offset: int, believed_for: float
+    upstream: str, source: str, offset: int, retained_for: float
 ) -> DirectoryChange:
     return DirectoryChange(
-        f"{upstream} has left", source, offset, round(believed_for, 3)
+        f"{upstream} has left", source, offset, round(retained_for, 3)
     )
--- a/src/rudderpass/directory/_retention.py
+++ b/src/rudderpass/directory/_retention.py
@@ -3,9 +3,9 @@
 Entries that expired during an outage of the store are back soon after its return. An
 entry that ends later, or stays away for most of the drain bound, belongs to an upstream
 that has left. All periods run from the earliest time at which the event can have
-happened, not from when this host learned of it: hosts that heard from the store 7.5 s
-after its return took an upstream that had left for an expired entry, and sent it a
-request after 2.8 s, where 2.0 s are allowed.
+happened, not from when this host learned of it: hosts whose first response came 7.5 s
+after the store's return took an upstream that had left for an expired entry, and sent
+it a request after 2.8 s, where 2.0 s are allowed.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 ended, where 2,000 ms are allowed."""
 
 
-class RetentionRule:
+class RetentionPolicy:
     """Decides how long ended entries are retained, from the store's outages.
 
     :param drain_bound: seconds for which a leaving upstream may still get new requests.
--- a/src/rudderpass/directory/_upstreams.py
+++ b/src/rudderpass/directory/_upstreams.py
@@ -1,7 +1,7 @@
 """The upstreams that the platform lists, and those removed recently.
 
 An upstream may restart under the same name. All state is kept per instance (one start
-of an upstream), so nothing known of an earlier instance is attributed to the new one.
+of an upstream), so no state of an earlier instance is attributed to the new one.
 """
 
 from __future__ import annotations
@@ -144,7 +144,7 @@
     def replace_all(
         self, records: list[UpstreamRecord], end: int, retain_until: float
     ) -> list[UpstreamId]:
-        """Apply a whole list as of ``end``; return the upstreams missing from it."""
+        """Apply a complete list as of ``end``; return the upstreams missing from it."""
         for record in records:
             self.put(record)
         listed = {record.entry.name for record in records}
@@ -169,14 +169,14 @@
         """Number of upstreams that are retained although their entries ended."""
         return len(self._expiring)
 
-    def takes_work(self, upstream: UpstreamId) -> bool:
+    def accepts_requests(self, upstream: UpstreamId) -> bool:
         """Return whether an upstream is listed and accepts new requests."""
         record = self._records.get(upstream)
         return record is not None and not record.entry.leaving
 
-    def is_leaving_or_gone(self, upstream: UpstreamId) -> bool:
+    def is_leaving_or_removed(self, upstream: UpstreamId) -> bool:
         """Return whether an upstream is leaving, is expiring, or is not listed."""
-        return upstream in self._expiring or not self.takes_work(upstream)
+        return upstream in self._expiring or not self.accepts_requests(upstream)
 
     @property
     def reported_leaving(self) -> list[UpstreamId]:
@@ -196,7 +196,7 @@
         self._reported_leaving[upstream] = None
         if len(self._reported_leaving) > MAX_REPORTED_LEAVING:
             del self._reported_leaving[next(iter(self._reported_leaving))]
-        if not self.takes_work(upstream):
+        if not self.accepts_requests(upstream):
             return False
         self._records[upstream] = _mark_leaving(self._records[upstream])
         return True
--- a/src/rudderpass/exchange/_core.py
+++ b/src/rudderpass/exchange/_core.py
@@ -253,7 +253,7 @@
             return False
         if self._throttling.has_active_retry_after(assignment.upstream, now):
             return False
-        return self._directory.takes_work(assignment.upstream, now)
+        return self._directory.accepts_requests(assignment.upstream, now)
 
     def spend_retry(self, service: PoolId, now: float) -> RetryDecision:
         """Spend one retry from the shared budget, if one is left."""
--- a/src/rudderpass/exchange/_crashes.py
+++ b/src/rudderpass/exchange/_crashes.py
@@ -35,7 +35,7 @@
 
         An upstream that was about to leave closes its connections as planned.
         """
-        if self._directory.is_leaving_or_gone(cut.crash.upstream, now):
+        if self._directory.is_leaving_or_removed(cut.crash.upstream, now):
             return False
         self._quarantine.record_cut(cut, now)
         return True
@@ -57,5 +57,5 @@
         if self._directory.list_age(now) > MAX_LIST_AGE_SECONDS:
             return
         for upstream in self._quarantine.crashed_before(now - CRASH_DISPROOF_SECONDS):
-            if self._directory.takes_work(upstream, now):
+            if self._directory.accepts_requests(upstream, now):
                 self._quarantine.retract_crash(upstream, now)
--- a/src/rudderpass/host/_host.py
+++ b/src/rudderpass/host/_host.py
@@ -344,7 +344,7 @@
                 f"{change.text}, from {change.source}.",
                 source=change.source,
                 offset=change.offset,
-                believed_for=change.believed_for,
+                believed_for=change.retained_for,
             )
         if self._directory.is_complete:
             self._informed.set()
--- a/src/rudderpass/observe/_metrics.py
+++ b/src/rudderpass/observe/_metrics.py
@@ -94,7 +94,7 @@
     def record_tokens(
         self, service_class: ClassName, delivered: int, wasted: int
     ) -> None:
-        """Count tokens of complete responses, and tokens whose work was wasted."""
+        """Count tokens of complete responses, and tokens that were discarded."""
         with self._lock:
             self._tokens[service_class] += delivered
             self._wasted[service_class] += wasted
--- a/src/rudderpass/platform/_cloud.py
+++ b/src/rudderpass/platform/_cloud.py
@@ -50,15 +50,15 @@
         return self._call(REPORT_PATH, holder, token, body)
 
     def set_desired_count(
-        self, holder: str, token: FencingToken, subject: ScalingGroup, count: int
+        self, holder: str, token: FencingToken, group: ScalingGroup, count: int
     ) -> CallResult:
         """Set how many upstreams a service should have in a zone."""
         body: dict[str, object] = {
-            "service": subject.service,
-            "zone": subject.zone,
+            "service": group.service,
+            "zone": group.zone,
             "desiredCount": count,
         }
-        if subject.is_spot:
+        if group.is_spot:
             body["spot"] = True
         return self._call(SCALE_PATH, holder, token, body)
 
--- a/src/rudderpass/publishing/_publisher.py
+++ b/src/rudderpass/publishing/_publisher.py
@@ -89,7 +89,7 @@
         self._log = log
 
     def history(self) -> History:
-        """Replay the whole stream.
+        """Replay the complete stream.
 
         :raises PlatformError: when the log does not answer.
         """
--- a/src/rudderpass/replay/_attempts.py
+++ b/src/rudderpass/replay/_attempts.py
@@ -7,7 +7,7 @@
 from rudderpass._ids import AvailabilityZone, ClassName, RequestId
 from rudderpass.errors import UpstreamError
 from rudderpass.pools import Granted
-from rudderpass.replay._engine import EngineWork, WorkResult
+from rudderpass.replay._engine import AttemptResult, EngineAttempt
 from rudderpass.replay._entities import Caller, ClusterContext, SimulatedNode
 from rudderpass.routing import GrantOutcome, Usage
 from rudderpass.streams import (
@@ -60,7 +60,7 @@
         caller.starts += 1
         caller.engine = engine
         tokens = max(1, caller.arrival.output_tokens - caller.state.produced)
-        caller.work = EngineWork(
+        caller.attempt = EngineAttempt(
             tokens=tokens,
             prompt_tokens=caller.arrival.prompt_tokens,
             prefix=caller.arrival.prefix,
@@ -68,7 +68,7 @@
             on_first_token=lambda: self._record_first_token(caller),
             on_end=lambda result: self._handle_end(node, caller, granted, result),
         )
-        engine.start(caller.work)
+        engine.start(caller.attempt)
 
     def _refuse_connection(
         self, node: SimulatedNode, caller: Caller, granted: Granted
@@ -96,18 +96,22 @@
             caller.first_token_at = self._env.now
 
     def _handle_end(
-        self, node: SimulatedNode, caller: Caller, granted: Granted, result: WorkResult
+        self,
+        node: SimulatedNode,
+        caller: Caller,
+        granted: Granted,
+        result: AttemptResult,
     ) -> None:
-        work = caller.work
-        assert work is not None
-        produced = int(work.produced)
-        if result is WorkResult.DONE:
+        attempt = caller.attempt
+        assert attempt is not None
+        produced = int(attempt.produced)
+        if result is AttemptResult.DONE:
             self._complete(node, caller, granted, produced)
-        elif result is WorkResult.CRASHED:
+        elif result is AttemptResult.CRASHED:
             error = UpstreamError("the stream broke", sent=True)
             self._handle_failure(node, caller, granted, produced, error)
         else:
-            caller.wasted += work.produced
+            caller.wasted += attempt.produced
 
     def _complete(
         self, node: SimulatedNode, caller: Caller, granted: Granted, produced: int
--- a/src/rudderpass/replay/_cluster.py
+++ b/src/rudderpass/replay/_cluster.py
@@ -168,9 +168,9 @@
 
     def _report_progress(self, node: SimulatedNode) -> None:
         for request_id, caller in node.callers.items():
-            if caller.work is None or caller.engine is None or caller.work.ended:
+            if caller.attempt is None or caller.engine is None or caller.attempt.ended:
                 continue
-            tokens = caller.engine.produced_tokens(caller.work)
+            tokens = caller.engine.produced_tokens(caller.attempt)
             node.scheduler.record_progress(request_id, tokens)
 
     def run_on_node(
@@ -243,12 +243,12 @@
                 peer, lambda: receive(sender, action.message, self.env.now)
             )
             if action.reliable:
-                note = scheduler.record_reachable
-                self.run_on_node(node, lambda: note(action.peer, self.env.now))
+                record = scheduler.record_reachable
+                self.run_on_node(node, lambda: record(action.peer, self.env.now))
             return
         if action.reliable:
-            note = scheduler.record_unreachable
-            self.run_on_node(node, lambda: note(action.peer, self.env.now))
+            record = scheduler.record_unreachable
+            self.run_on_node(node, lambda: record(action.peer, self.env.now))
 
     def _is_peer_partitioned(self, node: SimulatedNode, peer: SimulatedNode) -> bool:
         return self.is_partitioned(node, peer.zone)
--- a/src/rudderpass/replay/_engine.py
+++ b/src/rudderpass/replay/_engine.py
@@ -18,8 +18,8 @@
 _EPSILON = 1e-9
 
 
-class WorkResult(Enum):
-    """The result of work on an engine."""
+class AttemptResult(Enum):
+    """The result of an attempt on an engine."""
 
     DONE = "done"
     CRASHED = "crashed"
@@ -27,7 +27,7 @@
 
 
 @dataclass(eq=False)
-class EngineWork:
+class EngineAttempt:
     """One attempt at one request on one engine.
 
     :param tokens: number of tokens to produce.
@@ -40,7 +40,7 @@
     prefix: str
     priority: int
     on_first_token: Callable[[], None]
-    on_end: Callable[[WorkResult], None]
+    on_end: Callable[[AttemptResult], None]
     produced: float = 0.0
     has_first_token: bool = False
     ended: bool = False
@@ -64,7 +64,7 @@
 
 
 class SimulatedEngine:
-    """Runs up to ``slots`` pieces of work; the rest queues by priority.
+    """Runs up to ``slots`` attempts; the rest queues by priority.
 
     :param env: the simulation environment, with the virtual clock.
     :param gap: seconds between tokens when it runs one request.
@@ -78,9 +78,9 @@
         self._slots = slots
         self._slowdown = 1.0
         self._up = True
-        self._waiting: list[tuple[int, int, EngineWork]] = []
-        self._prefilling: set[EngineWork] = set()
-        self._decoding: dict[EngineWork, None] = {}
+        self._waiting: list[tuple[int, int, EngineAttempt]] = []
+        self._prefilling: set[EngineAttempt] = set()
+        self._decoding: dict[EngineAttempt, None] = {}
         self._order = itertools.count()
         self._advanced_at = 0.0
         self._schedule_version = 0
@@ -90,7 +90,7 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the engine accepts work."""
+        """Whether the engine accepts requests."""
         return self._up
 
     @property
@@ -112,25 +112,25 @@
         """Record a load sample."""
         self._load_history.samples.append((self._env.now, self.load))
 
-    def start(self, work: EngineWork) -> None:
-        """Accept work; the engine must be up."""
+    def start(self, attempt: EngineAttempt) -> None:
+        """Accept an attempt; the engine must be up."""
         self.totals.starts += 1
-        heapq.heappush(self._waiting, (work.priority, next(self._order), work))
+        heapq.heappush(self._waiting, (attempt.priority, next(self._order), attempt))
         self._fill_batch()
 
-    def cancel(self, work: EngineWork) -> None:
-        """Cancel work whose result is no longer needed."""
-        if work.ended:
+    def cancel(self, attempt: EngineAttempt) -> None:
+        """Cancel an attempt whose result is no longer needed."""
+        if attempt.ended:
             return
         self._advance()
-        self._finish(work, WorkResult.CANCELLED)
+        self._finish(attempt, AttemptResult.CANCELLED)
         self._fill_batch()
         self._schedule_completion()
 
-    def produced_tokens(self, work: EngineWork) -> int:
+    def produced_tokens(self, attempt: EngineAttempt) -> int:
         """Return the number of tokens produced so far."""
         self._advance()
-        return int(work.produced)
+        return int(attempt.produced)
 
     def set_slowdown(self, factor: float) -> None:
         """Run ``factor`` times slower from now on."""
@@ -139,50 +139,50 @@
         self._schedule_completion()
 
     def crash(self) -> None:
-        """Abort all work and refuse new work."""
+        """Abort all attempts and refuse new ones."""
         self._advance()
         self._up = False
         self._prefixes.clear()
-        aborted = [work for _, _, work in self._waiting]
+        aborted = [attempt for _, _, attempt in self._waiting]
         aborted += [*self._prefilling, *self._decoding]
-        for work in aborted:
-            self._finish(work, WorkResult.CRASHED)
+        for attempt in aborted:
+            self._finish(attempt, AttemptResult.CRASHED)
 
     def restart(self) -> None:
-        """Accept work again, with an empty prefix cache."""
+        """Accept requests again, with an empty prefix cache."""
         self._up = True
 
     def _fill_batch(self) -> None:
         while self._waiting and self._running() < self._slots:
-            _, _, work = heapq.heappop(self._waiting)
-            if work.ended:
+            _, _, attempt = heapq.heappop(self._waiting)
+            if attempt.ended:
                 continue
-            self._prefilling.add(work)
-            self._env.process(self._prefill(work))
+            self._prefilling.add(attempt)
+            self._env.process(self._prefill(attempt))
         self.totals.peak_running = max(self.totals.peak_running, self._running())
 
     def _running(self) -> int:
         return len(self._prefilling) + len(self._decoding)
 
-    def _prefill(self, work: EngineWork) -> simpy.events.ProcessGenerator:
-        seconds = work.prompt_tokens * _PREFILL_SECONDS_PER_TOKEN
-        if work.prefix and work.prefix in self._prefixes:
+    def _prefill(self, attempt: EngineAttempt) -> simpy.events.ProcessGenerator:
+        seconds = attempt.prompt_tokens * _PREFILL_SECONDS_PER_TOKEN
+        if attempt.prefix and attempt.prefix in self._prefixes:
             seconds *= 1 - _CACHED_PREFILL_SHARE
-        if work.prefix:
-            self._prefixes[work.prefix] = None
-            self._prefixes.move_to_end(work.prefix)
+        if attempt.prefix:
+            self._prefixes[attempt.prefix] = None
+            self._prefixes.move_to_end(attempt.prefix)
             if len(self._prefixes) > _PREFIX_CACHE_SIZE:
                 self._prefixes.popitem(last=False)
         yield self._env.timeout((seconds + self._gap) * self._slowdown)
-        if work.ended:
+        if attempt.ended:
             return
         self._advance()
-        self._prefilling.discard(work)
-        self._decoding[work] = None
-        work.has_first_token = True
-        work.produced = 1.0
+        self._prefilling.discard(attempt)
+        self._decoding[attempt] = None
+        attempt.has_first_token = True
+        attempt.produced = 1.0
         self.totals.tokens += 1
-        work.on_first_token()
+        attempt.on_first_token()
         self._schedule_completion()
 
     def _token_seconds(self) -> float:
@@ -196,16 +196,16 @@
         if not self._decoding or elapsed <= 0:
             return
         generated = elapsed / self._token_seconds()
-        for work in self._decoding:
-            added = min(generated, work.tokens - work.produced)
-            work.produced += added
+        for attempt in self._decoding:
+            added = min(generated, attempt.tokens - attempt.produced)
+            attempt.produced += added
             self.totals.tokens += added
 
     def _schedule_completion(self) -> None:
         self._schedule_version += 1
         if not self._decoding:
             return
-        shortest = min(work.tokens - work.produced for work in self._decoding)
+        shortest = min(attempt.tokens - attempt.produced for attempt in self._decoding)
         seconds = max(0.0, shortest) * self._token_seconds()
         self._env.process(self._complete_after(seconds, self._schedule_version))
 
@@ -217,19 +217,19 @@
             return
         self._advance()
         done = [
-            work
-            for work in self._decoding
-            if work.tokens - work.produced <= _EPSILON * work.tokens + 1e-6
+            attempt
+            for attempt in self._decoding
+            if attempt.tokens - attempt.produced <= _EPSILON * attempt.tokens + 1e-6
         ]
-        for work in done:
-            self._finish(work, WorkResult.DONE)
+        for attempt in done:
+            self._finish(attempt, AttemptResult.DONE)
         self._fill_batch()
         self._schedule_completion()
 
-    def _finish(self, work: EngineWork, result: WorkResult) -> None:
-        if work.ended:
+    def _finish(self, attempt: EngineAttempt, result: AttemptResult) -> None:
+        if attempt.ended:
             return
-        work.ended = True
-        self._prefilling.discard(work)
-        self._decoding.pop(work, None)
-        work.on_end(result)
+        attempt.ended = True
+        self._prefilling.discard(attempt)
+        self._decoding.pop(attempt, None)
+        attempt.on_end(result)
--- a/src/rudderpass/replay/_entities.py
+++ b/src/rudderpass/replay/_entities.py
@@ -11,7 +11,7 @@
 from rudderpass._ids import AvailabilityZone, ClassName, RequestId, UpstreamId
 from rudderpass.core import Admitted, CoreAction
 from rudderpass.declarations import Catalog
-from rudderpass.replay._engine import EngineWork, SimulatedEngine
+from rudderpass.replay._engine import EngineAttempt, SimulatedEngine
 from rudderpass.replay._policies import Scheduler
 from rudderpass.replay._trace import Arrival
 from rudderpass.streams import AttemptState, Outcome, RetryBudget
@@ -36,7 +36,7 @@
     wasted: float = 0.0
     excluded: tuple[UpstreamId, ...] = ()
     starts: int = 0
-    work: EngineWork | None = None
+    attempt: EngineAttempt | None = None
     engine: SimulatedEngine | None = None
     attempt_started_at: float = 0.0
     attempt_first_token_seconds: float = 0.0
--- a/src/rudderpass/replay/_faults.py
+++ b/src/rudderpass/replay/_faults.py
@@ -67,15 +67,15 @@
     def _drop_connection(self, caller: Caller) -> None:
         """Drop the connection of a caller whose node crashed; a caller whose
         request is repeatable retries through another node."""
-        if caller.work is not None and not caller.work.ended:
+        if caller.attempt is not None and not caller.attempt.ended:
             assert caller.engine is not None
-            caller.engine.cancel(caller.work)
+            caller.engine.cancel(caller.attempt)
         if not caller.arrival.repeatable:
             caller.finish(Outcome.UNKNOWN, "node crashed", self._env.now)
             return
         caller.state = AttemptState(True)
         caller.count_attempt()
-        caller.work = None
+        caller.attempt = None
         self._cluster.reconnect(caller)
 
     def _pause_node(
--- a/src/rudderpass/replay/_policies.py
+++ b/src/rudderpass/replay/_policies.py
@@ -122,7 +122,7 @@
         """Ignore progress; baselines make no estimates from it."""
 
     def tick(self, now: float) -> list[CoreAction]:
-        """Run periodic work; baselines have none by default."""
+        """Run periodic tasks; baselines have none by default."""
         return []
 
     def submit(self, submission: Submission, now: float) -> list[CoreAction]:
--- a/src/rudderpass/replay/_result.py
+++ b/src/rudderpass/replay/_result.py
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True)
 class ClassResult:
-    """One class's metrics over a whole replay.
+    """One class's metrics over a complete replay.
 
     :param attainment: share of all requests that met every target.
-    :param goodput: tokens per second of answers that met every target.
+    :param goodput: tokens per second of responses that met every target.
     :param starved: the longest wait in seconds for the first token, or for the end if
         there was none.
     :param over_wait: requests that waited longer than their class allows.
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class ReplayResult:
-    """Metrics of a whole replay.
+    """Metrics of a complete replay.
 
     :param wasted_share: discarded tokens, as a share of all tokens produced.
     :param oversubscribed: most requests that any engine ran above its slots.
@@ -140,7 +140,7 @@
 
 
 def met_targets(spec: ServiceClassSpec, caller: Caller) -> bool:
-    """Return whether a caller's answer met every target of its class."""
+    """Return whether a caller's response met every target of its class."""
     if caller.outcome is not Outcome.COMPLETED or caller.ended_at is None:
         return False
     total = caller.ended_at - caller.sent_at
--- a/tests/demo/test_checks.py
+++ b/tests/demo/test_checks.py
@@ -80,7 +80,7 @@
     assert OWN in broken_promises([make_answer("a", **changes)])
 
 
-def test_work_that_ran_but_is_reported_as_not_run_is_found() -> None:
+def test_a_request_that_ran_but_is_reported_as_not_run_is_found() -> None:
     deployment = FakeDeployment()
     deployment.engines["u1"].counts.starts["req-a"] = 1
     answers = [make_answer("a", outcome=Outcome.NOT_RUN), make_answer("b")]
@@ -108,7 +108,7 @@
     assert broken_promises([starved, make_answer("b")]) == {STARVE}
 
 
-def test_work_on_a_leaving_upstream_is_found() -> None:
+def test_a_request_on_a_leaving_upstream_is_found() -> None:
     deployment = FakeDeployment()
     deployment.engines["u1"].counts.last_start = 110.0
     incidents = Incidents(leaving_upstream="u1", leaving_at=100.0)
--- a/tests/directory/test_directory.py
+++ b/tests/directory/test_directory.py
@@ -120,7 +120,7 @@
     assert serving(directory) == {"u1"}
 
 
-def test_a_host_without_the_store_gets_the_whole_state_from_a_peer() -> None:
+def test_a_host_without_the_store_gets_the_complete_state_from_a_peer() -> None:
     peer = make_directory()
     peer.apply_config([config_record(3, 8)], 4, SOURCE)
     peer.apply_upstream_changes(
@@ -209,7 +209,7 @@
     assert host.is_complete
 
 
-def test_a_peer_that_missed_too_much_gets_the_whole_list() -> None:
+def test_a_peer_that_missed_too_much_gets_the_complete_list() -> None:
     source = make_directory()
     for offset in range(300):
         source.apply_upstream_changes(
@@ -271,7 +271,7 @@
 
 
 def test_a_peers_state_does_not_confirm_the_list() -> None:
-    """A peer may be ahead, yet have heard nothing from the store for long."""
+    """A peer may be ahead, yet have had no response from the store for long."""
     source, directory = make_directory(), make_directory()
     source.apply_upstream_list([upstream_record(0, 1)], 1, SOURCE, 1.0)
     directory.apply_upstream_list([], 0, SOURCE, 0.0)
@@ -285,11 +285,11 @@
     listed = [upstream_record(0, 1), upstream_record(1, 2)]
     directory.apply_upstream_list(listed, 2, SOURCE, 0.0)
     left = directory.apply_upstream_changes([upstream_tombstone(2, 1)], 3, SOURCE, 5.0)
-    assert [change.believed_for for change in left] == [0.0]
+    assert [change.retained_for for change in left] == [0.0]
     mark_store_unavailable(directory, 10.0)
     left = directory.apply_upstream_list([], 4, SOURCE, 10.0)
     assert [change.text for change in left] == ["u2 has left"]
-    assert left[0].believed_for is not None and left[0].believed_for > 1.0
+    assert left[0].retained_for is not None and left[0].retained_for > 1.0
     assert directory.expiring_count == 1
     directory.expire(20.0)
     assert directory.expiring_count == 0
--- a/tests/directory/test_follower.py
+++ b/tests/directory/test_follower.py
@@ -110,7 +110,7 @@
     assert all(0.0 <= silent < TIMEOUT for silent in later if silent != first)
 
 
-def test_the_whole_list_is_read_when_the_history_is_lost(
+def test_the_complete_list_is_read_when_the_history_is_lost(
     harness: FollowerHarness,
 ) -> None:
     harness.store.topics["upstreams"] += [
--- a/tests/directory/test_leaving.py
+++ b/tests/directory/test_leaving.py
@@ -1,13 +1,13 @@
 """An upstream that has left gets no more requests beyond the drain bound.
 
 Guards against a request that reaches an upstream 2.8 s after the platform acknowledged
-that it leaves, where 2.0 s are allowed. It happened like this: the store refused all
-calls for 0.7 s and was then silent for 5 s. Five hosts each had a call in flight that
-waited up to 10 s for new records, got no answer, and made no other call, so they heard
-from the store only 7.5 s after others did. An upstream's entry had ended meanwhile.
-They took this for one of the entries that expire during an outage and are back within
-2 s of the store's return, and took the time at which they themselves heard from the
-store for its return; so they sent requests there for 2.2 s more.
+that it leaves, where 2.0 s are allowed. The store refused all calls for 0.7 s and was
+then silent for 5 s. Five hosts each had a call in flight that waited up to 10 s for new
+records, got no response, and made no other call, so their next response from the store
+came 7.5 s after that of other hosts. An upstream's entry had ended meanwhile. They took
+this for one of the entries that expire during an outage and are back within 2 s of the
+store's return, and took the time of their own first response for the time of its
+return; so they sent requests there for 2.2 s more.
 
 The cause: periods that ran from when a host learned of an event, not from when the
 event happened, and no bound on the time between the two.
@@ -97,7 +97,7 @@
 ) -> None:
     """The outage described above, with the end at various times after it."""
     refused = Outage(OutageKind.REFUSES_CALLS, 16.3, 17.0)
-    silent = Outage(OutageKind.NO_ANSWERS, 17.0, 21.9)
+    silent = Outage(OutageKind.NO_RESPONSES, 17.0, 21.9)
     first = silent.ended + RECOVERY_SECONDS
     for number in range(80):
         leaves_at = first + 0.1 * number
@@ -135,7 +135,7 @@
     lasts = rng.uniform(0.2, 8.0)
     outages = (
         Outage(OutageKind.REFUSES_CALLS, began, began + refuses),
-        Outage(OutageKind.NO_ANSWERS, began + refuses, began + refuses + lasts),
+        Outage(OutageKind.NO_RESPONSES, began + refuses, began + refuses + lasts),
     )
     recovered_at = outages[-1].ended + RECOVERY_SECONDS
     leaves_at = recovered_at + rng.uniform(0.0, MAX_DELAY_SECONDS)
@@ -147,11 +147,11 @@
 
 
 @pytest.mark.parametrize("back_after", [0.1, 0.8, 1.4])
-@pytest.mark.parametrize("kind", [OutageKind.REFUSES_CALLS, OutageKind.NO_ANSWERS])
+@pytest.mark.parametrize("kind", [OutageKind.REFUSES_CALLS, OutageKind.NO_RESPONSES])
 def test_entries_that_expire_in_an_outage_stay_until_they_must_be_back(
     scenarios: list[Scenario], kind: OutageKind, back_after: float
 ) -> None:
-    """All entries expire during an outage of the store; their upstreams live on."""
+    """All entries expire during an outage of the store; the upstreams keep running."""
     outage = Outage(kind, 10.0, 16.0)
     scenario = Scenario(outage.began + 4.0, outage)
     scenarios.append(scenario)
--- a/tests/directory/test_restarts.py
+++ b/tests/directory/test_restarts.py
@@ -51,7 +51,7 @@
         [instance_record(1, NEW)], 2, SOURCE, 1.0
     )
     assert serving(directory) == {NEW}
-    assert not directory.takes_work(OLD, 1.0)
+    assert not directory.accepts_requests(OLD, 1.0)
     assert removed(directory) == [OLD]
     assert f"started again after {OLD}" in changes[0].text
 
--- a/tests/directory/test_unusable.py
+++ b/tests/directory/test_unusable.py
@@ -36,11 +36,11 @@
     assert serving(directory) == {"u2"}
 
 
-def test_an_unusable_entry_in_a_whole_list_removes_the_upstream_at_once() -> None:
+def test_an_unusable_entry_in_a_complete_list_removes_the_upstream_at_once() -> None:
     directory = make_filled()
     mark_store_unavailable(directory, 10.0)
-    whole = [upstream_record(1, 2), upstream_record(2, 1, b"bad")]
-    directory.apply_upstream_list(whole, 3, SOURCE, 10.0)
+    records = [upstream_record(1, 2), upstream_record(2, 1, b"bad")]
+    directory.apply_upstream_list(records, 3, SOURCE, 10.0)
     assert serving(directory) == {"u2"}
 
 
@@ -49,9 +49,9 @@
     apply_changes(peer, upstream_record(2, 1, b"bad"))
     host = make_filled()
     host.apply_state(peer.state_since(-1, 2, 1.0), "peer", 1.0)
-    newcomer = make_directory()
-    newcomer.apply_state(peer.state(1.0), "peer", 1.0)
-    assert serving(host) == serving(newcomer) == {"u2"}
+    new_host = make_directory()
+    new_host.apply_state(peer.state(1.0), "peer", 1.0)
+    assert serving(host) == serving(new_host) == {"u2"}
 
 
 def test_the_upstreams_next_entry_restores_it() -> None:
--- a/tests/directory/virtual.py
+++ b/tests/directory/virtual.py
@@ -11,7 +11,7 @@
 from rudderpass.directory import Clock, KeyedPage, KeyedRecord
 from rudderpass.errors import ConnectionLost, PlatformError
 
-ANSWER_SECONDS = 0.004
+RESPONSE_SECONDS = 0.004
 CALL_SECONDS = 1.5
 """Time-out of the real client beyond the wait that a call asks for."""
 
@@ -86,13 +86,13 @@
     """How the store fails during an outage."""
 
     REFUSES_CALLS = "refuses every call at once"
-    NO_ANSWERS = "answers no call, and connections stay open"
+    NO_RESPONSES = "answers no call, and connections stay open"
     DROPS_CONNECTIONS = "drops all packets of open connections, and answers new ones"
 
 
 @dataclass(frozen=True)
 class Outage:
-    """A period in which the store does not answer normally."""
+    """A period in which the store does not respond normally."""
 
     kind: OutageKind
     began: float
@@ -130,7 +130,7 @@
     def read_newest(self, topic: str) -> KeyedPage:
         """Return the newest record of each key."""
         call = self._begin()
-        self._answer(call, call.began + ANSWER_SECONDS, CALL_SECONDS)
+        self._respond(call, call.began + RESPONSE_SECONDS, CALL_SECONDS)
         visible = self._visible(topic)
         newest = {record.key: record for record in visible}
         kept = [record for record in newest.values() if record.value is not None]
@@ -143,7 +143,7 @@
         arrivals = [at for at, record in records if record.offset >= offset]
         last = call.began + wait
         ready = max(call.began, min([last, *arrivals]))
-        self._answer(call, ready + ANSWER_SECONDS, wait + CALL_SECONDS)
+        self._respond(call, ready + RESPONSE_SECONDS, wait + CALL_SECONDS)
         visible = self._visible(topic)
         return KeyedPage(tuple(visible[offset:]), len(visible))
 
@@ -154,20 +154,20 @@
         self._connected.add(thread)
         return _Call(self.clock.now(), is_reused)
 
-    def _answer(self, call: _Call, ready: float, timeout: float) -> None:
-        """Wait until the answer is ready, or fail as the current outage makes it."""
+    def _respond(self, call: _Call, ready: float, timeout: float) -> None:
+        """Wait until the response is ready, or fail as the current outage makes it."""
         for outage in self.outages:
             if outage.began > ready or outage.ended <= call.began:
                 continue
             if outage.kind is OutageKind.DROPS_CONNECTIONS:
                 if outage.contains(call.began) and not call.is_reused:
                     continue  # New connections work.
-                noticed = max(call.began, outage.began) + KEEPALIVE_SECONDS
-                self._fail(call, min(noticed, call.began + timeout))
-            if outage.kind is OutageKind.NO_ANSWERS:
+                detected_at = max(call.began, outage.began) + KEEPALIVE_SECONDS
+                self._fail(call, min(detected_at, call.began + timeout))
+            if outage.kind is OutageKind.NO_RESPONSES:
                 self._fail(call, call.began + timeout)
             if outage.kind is OutageKind.REFUSES_CALLS:
-                self._fail(call, max(call.began, outage.began) + ANSWER_SECONDS, True)
+                self._fail(call, max(call.began, outage.began) + RESPONSE_SECONDS, True)
         self.clock.sleep_until(ready)
 
     def _fail(self, call: _Call, at: float, is_refused: bool = False) -> None:
--- a/tests/exchange/test_crash_check.py
+++ b/tests/exchange/test_crash_check.py
@@ -136,7 +136,7 @@
     if state == "ended":
         directory.apply_upstream_changes([upstream_tombstone(5, 1)], 6, "store", 1.0)
     upstream = UpstreamId("u9" if state == "unknown" else "u1")
-    assert directory.is_leaving_or_gone(upstream, 1.0) is (state != "serving")
+    assert directory.is_leaving_or_removed(upstream, 1.0) is (state != "serving")
 
 
 def test_a_suspect_is_sent_to_the_least_loaded_upstream() -> None:
--- a/tests/exchange/test_leaving.py
+++ b/tests/exchange/test_leaving.py
@@ -51,7 +51,7 @@
     directory.expire(5.0)
     assert directory.reported_leaving == []
     directory.apply_upstream_changes([upstream_record(10, 1)], 11, "store", 6.0)
-    assert not directory.takes_work(UpstreamId("u1"), 6.0)
+    assert not directory.accepts_requests(UpstreamId("u1"), 6.0)
     assert directory.reported_leaving == ["u1"]
 
 
@@ -59,7 +59,7 @@
     directory = make_core(upstreams=2).directory
     directory.record_leaving(UpstreamId("u3"))
     directory.apply_upstream_changes([upstream_record(10, 3)], 11, "store", 1.0)
-    assert not directory.takes_work(UpstreamId("u3"), 1.0)
+    assert not directory.accepts_requests(UpstreamId("u3"), 1.0)
 
 
 def test_the_number_of_kept_reports_is_bounded() -> None:
--- a/tests/platform/test_cloud.py
+++ b/tests/platform/test_cloud.py
@@ -32,12 +32,12 @@
     assert cloud.calls == [CloudCall("/usage-reports", "edge-1", 12, body, 200)]
 
 
-@pytest.mark.parametrize(("subject", "extra"), [(REGULAR, {}), (SPOT, {"spot": True})])
+@pytest.mark.parametrize(("group", "extra"), [(REGULAR, {}), (SPOT, {"spot": True})])
 def test_a_scaling_call_carries_service_zone_count_and_kind(
-    cloud: StandInCloud, subject: ScalingGroup, extra: dict[str, bool]
+    cloud: StandInCloud, group: ScalingGroup, extra: dict[str, bool]
 ) -> None:
     api = CloudApi(cloud.address)
-    assert api.set_desired_count("edge-1", TOKEN, subject, 6) is CallResult.DONE
+    assert api.set_desired_count("edge-1", TOKEN, group, 6) is CallResult.DONE
     body = {"service": "huvo11a", "zone": "nasr-hall", "desiredCount": 6, **extra}
     assert cloud.calls == [CloudCall("/scale", "edge-1", 12, body, 200)]
 
--- a/tests/publishing/test_publish.py
+++ b/tests/publishing/test_publish.py
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class World:
+class PublishingHarness:
     log: StandInLog
     publisher: Publisher
     base: ConfigState = field(default_factory=ConfigState)
@@ -44,10 +44,10 @@
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
+def harness() -> Iterator[PublishingHarness]:
     log = StandInLog(retention=4)
     log.start()
-    yield World(log, Publisher(HttpLogService(log.address)))
+    yield PublishingHarness(log, Publisher(HttpLogService(log.address)))
     log.close()
 
 
@@ -60,52 +60,52 @@
 
 
 @given("declarations in force")
-def in_force(world: World) -> None:
-    result = world.publisher.apply(make_catalog(), "first")
+def in_force(harness: PublishingHarness) -> None:
+    result = harness.publisher.apply(make_catalog(), "first")
     assert isinstance(result, Success)
-    world.base = result.unwrap().state
-    world.appends = world.log.appends
+    harness.base = result.unwrap().state
+    harness.appends = harness.log.appends
 
 
 @given("the log loses its answers")
-def loses_answers(world: World) -> None:
-    world.log.fault = LogFault.APPEND_ANSWER_LOST
+def loses_answers(harness: PublishingHarness) -> None:
+    harness.log.fault = LogFault.APPEND_ANSWER_LOST
 
 
 @given("the log is down")
-def log_is_down(world: World) -> None:
-    world.log.fault = LogFault.DOWN
+def log_is_down(harness: PublishingHarness) -> None:
+    harness.log.fault = LogFault.DOWN
 
 
 @given("a log that has lost its oldest records behind a snapshot")
-def truncated_log(world: World) -> None:
-    world.publisher.write_snapshot()
+def truncated_log(harness: PublishingHarness) -> None:
+    harness.publisher.write_snapshot()
     for number in range(3):
-        world.log.append(CONFIG_STREAM, b"of somebody else")
-    assert world.log.read(CONFIG_STREAM, 0, 0).first > 0
+        harness.log.append(CONFIG_STREAM, b"of somebody else")
+    assert harness.log.read(CONFIG_STREAM, 0, 0).first > 0
 
 
 @when(
     parsers.parse('"{one}" and "{two}" change the same class against the same version')
 )
-def conflicting_changes(world: World, one: str, two: str) -> None:
-    world.apply(with_floor_share(0.1), one, world.base)
-    world.apply(with_floor_share(0.2), two, world.base)
+def conflicting_changes(harness: PublishingHarness, one: str, two: str) -> None:
+    harness.apply(with_floor_share(0.1), one, harness.base)
+    harness.apply(with_floor_share(0.2), two, harness.base)
 
 
 @when(parsers.parse('"{author}" changes a class'))
-def change(world: World, author: str) -> None:
-    world.apply(with_floor_share(0.1), author, world.base)
+def change(harness: PublishingHarness, author: str) -> None:
+    harness.apply(with_floor_share(0.1), author, harness.base)
 
 
 @when(parsers.parse('"{author}" applies what is in force already'))
-def apply_same(world: World, author: str) -> None:
-    world.apply(make_catalog(), author, world.base)
+def apply_same(harness: PublishingHarness, author: str) -> None:
+    harness.apply(make_catalog(), author, harness.base)
 
 
 @then(parsers.parse('the change of "{author}" is accepted'))
-def accepted(world: World, author: str) -> None:
-    result = world.results[author]
+def accepted(harness: PublishingHarness, author: str) -> None:
+    result = harness.results[author]
     assert isinstance(result, Success), result
     outcome = result.unwrap().outcome
     assert outcome is not None and outcome.author == author
@@ -114,35 +114,35 @@
 @then(
     parsers.parse('the change of "{author}" is refused, naming the class and "{other}"')
 )
-def refused(world: World, author: str, other: str) -> None:
-    result = world.results[author]
+def refused(harness: PublishingHarness, author: str, other: str) -> None:
+    result = harness.results[author]
     assert isinstance(result, Failure)
     text = result.failure().show()
     assert "ServiceClass/urgent" in text and f"by {other}" in text
 
 
 @then("the log holds one record more")
-def one_more_record(world: World) -> None:
-    assert world.log.appends == world.appends + 1
+def one_more_record(harness: PublishingHarness) -> None:
+    assert harness.log.appends == harness.appends + 1
 
 
 @then("the platform is named as the cause")
-def platform_named(world: World) -> None:
-    if world.error is not None:
-        assert world.log.address in world.error.show()
+def platform_named(harness: PublishingHarness) -> None:
+    if harness.error is not None:
+        assert harness.log.address in harness.error.show()
         return
-    result = world.results["ada"]
+    result = harness.results["ada"]
     assert isinstance(result, Failure)
     assert "not known whether" in result.failure().show()
 
 
 @then("nothing is published")
-def nothing_published(world: World) -> None:
-    assert world.results["ada"].unwrap().outcome is None
-    assert world.log.appends == world.appends
+def nothing_published(harness: PublishingHarness) -> None:
+    assert harness.results["ada"].unwrap().outcome is None
+    assert harness.log.appends == harness.appends
 
 
 @then("a new reader finds the same declarations")
-def same_declarations(world: World) -> None:
-    state = world.publisher.history().state
-    assert state.entries == world.base.entries
+def same_declarations(harness: PublishingHarness) -> None:
+    state = harness.publisher.history().state
+    assert state.entries == harness.base.entries
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -15,8 +15,9 @@
 from tests.soak.upstreams import UpstreamFault
 
 DRAIN_SECONDS = 2.5
-"""Time after which a draining upstream may receive no more work. Hosts follow the store
-within milliseconds when nothing is wrong, so only undisturbed drains are checked."""
+"""Time after which a draining upstream may receive no more requests. Hosts follow the
+store within milliseconds when nothing is wrong, so only undisturbed drains are
+checked."""
 
 MAX_FAULT_SECONDS = 3.0
 MEAN_INTERVAL_SECONDS = 0.5
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -23,7 +23,7 @@
     RESET = "reset"
     CUT_FORWARD = "nothing passes towards the server"
     CUT_BACK = "nothing passes towards the client"
-    SILENT = "nothing passes either way, and nobody is told"
+    SILENT = "nothing passes either way, and connections stay open"
 
 
 DELAY_SECONDS = 0.15
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -82,7 +82,7 @@
         *_filter_caller_violations(callers, faults),
         *faults.violations,
         *(fatal.find_violations(faults) if has_fatal_bodies else ()),
-        *find_work_after_drain(deployment, faults),
+        *find_requests_after_drain(deployment, faults),
         *find_retry_budget_overruns(deployment.run_tracker, callers.attempts),
         *deployment.cloud.find_violations(),
     ]
@@ -120,9 +120,9 @@
     ]
 
 
-def find_work_after_drain(deployment: SoakDeployment, faults: Faults) -> list[str]:
-    """Return work that reached upstreams later than DRAIN_SECONDS into their drain."""
-    late_work = []
+def find_requests_after_drain(deployment: SoakDeployment, faults: Faults) -> list[str]:
+    """Return requests that started later than DRAIN_SECONDS into a drain."""
+    late_requests = []
     for name, drain_start in deployment.leaving_since.items():
         undisturbed_from = drain_start - UNDISTURBED_SECONDS
         if drain_start == float("inf"):
@@ -132,10 +132,10 @@
         for run in deployment.run_tracker.started_after(
             name, drain_start + DRAIN_SECONDS
         ):
-            late_work.append(
+            late_requests.append(
                 f"DRAIN: {name} got {run.request_id} {run.at - drain_start:.2f} s late"
             )
-    return late_work
+    return late_requests
 
 
 def find_retry_budget_overruns(
--- a/tests/soak/test_poison.py
+++ b/tests/soak/test_poison.py
@@ -2,7 +2,7 @@
 
 Guards against a crash loop: such a request was retried on a second engine and came to
 other hosts with new ids but the same path, caller and body. After three crashes it was
-still sent again and again; 17 engines crashed, and for seconds hardly any request was
+still sent repeatedly; 17 engines crashed, and for seconds hardly any request was
 served by an engine. Each crashed engine had this request in flight, with no event sent,
 and no other request was in flight at every crash; but crashes were recorded per
 upstream only, so no host blocked the request.
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -20,8 +20,8 @@
 from tests.soak.proxy import LinkFault, Proxy
 from tests.soak.soak import (
     FAULT_SECONDS,
+    find_requests_after_drain,
     find_retry_budget_overruns,
-    find_work_after_drain,
     run_seed,
 )
 from tests.soak.upstreams import (
@@ -198,17 +198,17 @@
     assert bool(found) is bool(violation)
 
 
-def test_work_for_an_upstream_that_left_is_found(callers: Callers) -> None:
+def test_requests_to_an_upstream_that_left_are_found(callers: Callers) -> None:
     deployment = callers.deployment
     deployment.leaving_since["i-1"] = 0.0
     faults = Faults(deployment, 1)
     deployment.run_tracker.add(make_run(at=DRAIN_SECONDS - 0.1))
-    assert find_work_after_drain(deployment, faults) == []
+    assert find_requests_after_drain(deployment, faults) == []
     deployment.run_tracker.add(make_run(at=DRAIN_SECONDS + 0.1))
-    assert len(find_work_after_drain(deployment, faults)) == 1
+    assert len(find_requests_after_drain(deployment, faults)) == 1
     faults.disturbances.append(Disturbance("store", 1.0, 1.5))
     assert (
-        find_work_after_drain(deployment, faults) == []
+        find_requests_after_drain(deployment, faults) == []
     ), "hosts could not follow the store"
 
 
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -21,7 +21,7 @@
 
 
 class UpstreamFault(Enum):
-    """How an upstream misbehaves while it accepts work."""
+    """How an upstream misbehaves while it accepts requests."""
 
     NONE = "none"
     FAILS = "answers 500 to some, though it ran them"
