--- a/src/rudderpass/host/_gossip_protocol.py
+++ b/src/rudderpass/host/_gossip_protocol.py
@@ -244,7 +244,9 @@
             suspects=suspects,
             prompts=prompts,
             streams=streams,
-            digest=Digest(False, {self._zone: members}, total.loads, total.prefill_rates),
+            digest=Digest(
+                False, {self._zone: members}, total.loads, total.prefill_rates
+            ),
             rate_limits=rate_limits,
         )
         prompts, streams = self._relay_role.for_zone.drain()
