--- a/src/rudderpass/admission/_limits.py
+++ b/src/rudderpass/admission/_limits.py
@@ -32,7 +32,7 @@
         self._updated = now
         return self._level
 
-    def take(self, amount: float) -> None:
+    def consume(self, amount: float) -> None:
         assert self._level is not None
         self._level -= amount
 
@@ -64,7 +64,7 @@
             level = self._requests.refill(rate, now)
             if level < 1:
                 return LimitReached("requestsPerSecond", (1 - level) / rate)
-            self._requests.take(1)
+            self._requests.consume(1)
         self._running += 1
         return None
 
@@ -73,4 +73,4 @@
         self._running -= 1
         if limits.tokens_per_second is not None:
             self._tokens.refill(limits.tokens_per_second / nodes, now)
-            self._tokens.take(tokens)
+            self._tokens.consume(tokens)
--- a/src/rudderpass/admission/_queue.py
+++ b/src/rudderpass/admission/_queue.py
@@ -182,7 +182,7 @@
 
         If the head of a subqueue cannot be placed, those behind it, which need the
         same upstreams, are not tried. So only heads are yielded: of each subqueue
-        the first in time and the first of all.
+        the first that can still start in time, and the first overall.
         """
         queues = [queue for queue in self._classes.values() if queue.count]
         with_credit = [queue for queue in queues if self._has_floor_credit(queue)]
--- a/src/rudderpass/claims/__init__.py
+++ b/src/rudderpass/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims: keyed work runs at most once; the first claim in the log wins."""
+"""Claims: requests with an idempotency key run at most once; the first claim wins."""
 
 from rudderpass.claims._claimer import (
     MAX_RESPONSE_BYTES as MAX_RESPONSE_BYTES,
--- a/src/rudderpass/claims/_claimer.py
+++ b/src/rudderpass/claims/_claimer.py
@@ -1,9 +1,10 @@
-"""Claims keyed work for the attempts of one node, through the platform's log.
+"""Claims idempotency keys for the attempts of one node, through the platform's log.
 
-A node dispatches keyed work only after it has read its own claim back as the first
-for the key. If the response to an append is lost, reading the log settles the claim.
-If the log cannot be read, nothing was dispatched, so the caller is told that its work
-was not run; a claim that may still appear is released before another attempt can win.
+A node dispatches a request with a key only after it has read its own claim back as
+the first for the key. If the response to an append is lost, reading the log settles the
+claim. If the log cannot be read, nothing was dispatched, so the caller gets the outcome
+that its request was not run; a claim that may still appear is released before another
+attempt can win.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Won:
-    """The attempt may dispatch its work until ``deadline`` (monotonic clock)."""
+    """The attempt may dispatch its request until ``deadline`` (monotonic clock)."""
 
     deadline: float
 
@@ -82,7 +83,7 @@
 
 
 def make_claim_key(team: TeamId, route: str, key: str) -> ClaimKey:
-    """Return the key of a piece of work; teams and routes never share keys."""
+    """Return the key of a claim; teams and routes never share keys."""
     parts = "\0".join((team, route, key))
     return ClaimKey(hashlib.sha256(parts.encode()).hexdigest()[:32])
 
@@ -147,15 +148,15 @@
             return self._abandon(pending)
 
     def release(self, key: ClaimKey, attempt: AttemptId) -> None:
-        """Record that the claimed work was not run."""
+        """Record that the claimed request was not run."""
         self._outgoing.put(Released(key=key, attempt=attempt))
 
     def finish(self, done: Done) -> None:
-        """Record that the claimed work ran, with its response."""
+        """Record that the claimed request ran, with its response."""
         self._outgoing.put(done)
 
     def wait_until_ended(self, key: ClaimKey, seconds: float) -> ClaimEntry | None:
-        """Wait until a key's work is no longer running, and return its entry."""
+        """Wait until a key's request is no longer running; return the key's entry."""
         deadline = time.monotonic() + seconds
         with self._lock:
             while True:
@@ -251,7 +252,7 @@
             self._outgoing.put(Released(key=claim.key, attempt=claim.attempt))
 
     def _resolve_claim(self, claim: Claim) -> None:
-        """Tell this node's attempt whether its claim was the first."""
+        """Settle the claim of this node's attempt: won if it was the first."""
         pending = self._pending.get(AttemptId(claim.attempt))
         entry = self._table.get(ClaimKey(claim.key))
         if entry is None:
--- a/src/rudderpass/claims/_records.py
+++ b/src/rudderpass/claims/_records.py
@@ -1,6 +1,6 @@
 """The records of the claim stream.
 
-A claim asks to run the work of a key for one attempt. The first claim of a key in
+A claim requests the right to run one attempt under a key. The first claim of a key in
 offset order wins, whichever node appended it, so nodes need no further agreement.
 """
 
@@ -14,16 +14,16 @@
 from rudderpass.declarations import Spec
 
 ClaimKey = NewType("ClaimKey", str)
-"""Identifies a piece of work: a digest over team, route and idempotency key."""
+"""Identifies a request: a digest over team, route and idempotency key."""
 
 AttemptId = NewType("AttemptId", str)
-"""A request that wants to run the work; unique across nodes."""
+"""A caller's request that claims a key; unique across nodes."""
 
 
 class Claim(Spec):
-    """An attempt wants to run the work of a key.
+    """An attempt requests the right to run under a key.
 
-    :param digest: of the request body, to detect a key that is reused for other work.
+    :param digest: of the request body, to detect a key reused for another request.
     """
 
     type: Literal["claim"] = "claim"
@@ -33,7 +33,7 @@
 
 
 class Released(Spec):
-    """The attempt did not run the claimed work and never will."""
+    """The attempt did not run the claimed request and never will."""
 
     type: Literal["released"] = "released"
     key: str
@@ -41,7 +41,7 @@
 
 
 class Done(Spec):
-    """The claimed work ran and returned this response."""
+    """The claimed request ran and returned this response."""
 
     type: Literal["done"] = "done"
     key: str
--- a/src/rudderpass/claims/_table.py
+++ b/src/rudderpass/claims/_table.py
@@ -14,7 +14,7 @@
 
 
 class ClaimState(Enum):
-    """The progress of a key's work."""
+    """The progress of a key's request."""
 
     RUNNING = "running"
     RELEASED = "released"
@@ -23,7 +23,7 @@
 
 @dataclass
 class ClaimEntry:
-    """The winner of a key, and its response once the work is done."""
+    """The winner of a key, and its response once the request is done."""
 
     winner: AttemptId
     digest: str
--- a/src/rudderpass/core/_core.py
+++ b/src/rudderpass/core/_core.py
@@ -242,7 +242,7 @@
         return self._update_owners(now)
 
     def record_reachable(self, peer: NodeId, now: float) -> list[CoreAction]:
-        """Clear suspicion of a peer after an answered call to it."""
+        """Clear suspicion of a peer after a successful call to it."""
         if not self._view.record_contact(peer, now):
             return []
         return self._update_owners(now)
--- a/src/rudderpass/core/_matching.py
+++ b/src/rudderpass/core/_matching.py
@@ -13,7 +13,7 @@
 _MAX_REASONS = 3
 _TYPICAL_GAP_SECONDS = 0.03
 _MIN_START_SHARE = 0.1
-"""Share of the start target that is left to wait, however long the answer."""
+"""Share of the start target that is left to wait, however long the response."""
 
 _NON_MODEL_TOKENS = 1.0
 """Cost of a request that names no model and so produces no tokens."""
@@ -96,8 +96,8 @@
 def _start_target(spec: ServiceClassSpec, expected_tokens: float) -> float:
     """Return the seconds within which a request must start to meet its target.
 
-    With a target for the whole answer, the time left to wait shrinks with the
-    expected length of the answer.
+    With a target for the complete response, the time left to wait shrinks with the
+    expected length of the response.
     """
     if spec.targets.first_token_seconds is not None:
         return spec.start_target
--- a/src/rudderpass/core/_messages.py
+++ b/src/rudderpass/core/_messages.py
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class StateRequest:
-    """A node asks a peer for a newer configuration than its own."""
+    """A node requests a newer configuration than its own from a peer."""
 
     config_version: int
 
--- a/src/rudderpass/exchange/_quarantine_gate.py
+++ b/src/rudderpass/exchange/_quarantine_gate.py
@@ -107,7 +107,7 @@
                 return self._refuse(RefusalReason.QUARANTINED, verdict)
             if _clock.now() >= wait_until:
                 return self._refuse(RefusalReason.ON_TRIAL, verdict)
-            if self._caller.is_gone:
+            if self._caller.is_disconnected:
                 raise CallerGone("the caller left", step="trial")
             time.sleep(TRIAL_POLL_SECONDS)
 
--- a/src/rudderpass/exchange/_send.py
+++ b/src/rudderpass/exchange/_send.py
@@ -88,7 +88,7 @@
         except UpstreamError as error:
             is_stale = isinstance(error, StaleConnection)
             is_inconclusive = error.refused or is_stale or not error.sent
-            if is_inconclusive or self._progress.caller.is_gone:
+            if is_inconclusive or self._progress.caller.is_disconnected:
                 succeeded = None
             self._record_refusal(error)
             raise
@@ -99,7 +99,7 @@
             self._record_end(succeeded)
 
     def _run(self, connection: UpstreamConnection) -> Delivered:
-        if self._progress.caller.is_gone:
+        if self._progress.caller.is_disconnected:
             raise CallerGone("the caller left", step="connect")
         self._check_leaving(connection)
         self._write(connection)
--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -134,7 +134,7 @@
             try:
                 delivered = self._send.run()
             except UpstreamError as error:
-                if self._caller.is_gone:
+                if self._caller.is_disconnected:
                     raise CallerGone("the caller left", step="answer") from error
                 refused = self._after_failure(
                     accepted, assigned, error, quarantine_gate
--- a/src/rudderpass/gateway/_app.py
+++ b/src/rudderpass/gateway/_app.py
@@ -20,7 +20,7 @@
 from rudderpass.gateway._services import Services
 from rudderpass.observe import log
 from rudderpass.streams import Outcome
-from rudderpass.webserver import GONE_KEY, PENDING_KEY
+from rudderpass.webserver import DISCONNECTED_KEY, PENDING_KEY
 
 MODELS_PATH = "/v1/models"
 _RESERVED_THREADS_DIVISOR = 8
@@ -65,7 +65,7 @@
             return self._list_models(request, start_response)
         caller = Caller(
             start_response,
-            environ.get(GONE_KEY, _never_gone),
+            environ.get(DISCONNECTED_KEY, _never_disconnected),
             environ.get(PENDING_KEY, _no_pending_bytes),
         )
         self._increment_active()
@@ -114,7 +114,7 @@
         return [body]
 
 
-def _never_gone() -> bool:
+def _never_disconnected() -> bool:
     return False
 
 
--- a/src/rudderpass/gateway/_disconnect.py
+++ b/src/rudderpass/gateway/_disconnect.py
@@ -12,8 +12,8 @@
 
 @dataclass(eq=False)
 class _WatchedCaller:
-    is_gone: Callable[[], bool]
-    on_gone: Callable[[], None]
+    is_disconnected: Callable[[], bool]
+    on_disconnect: Callable[[], None]
 
 
 class DisconnectWatcher:
@@ -40,10 +40,10 @@
 
     @contextmanager
     def watch(
-        self, is_gone: Callable[[], bool], on_gone: Callable[[], None]
+        self, is_disconnected: Callable[[], bool], on_disconnect: Callable[[], None]
     ) -> Iterator[None]:
         """Watch a caller within a ``with`` block."""
-        watched = _WatchedCaller(is_gone, on_gone)
+        watched = _WatchedCaller(is_disconnected, on_disconnect)
         with self._lock:
             self._watched.add(watched)
         try:
@@ -55,7 +55,9 @@
     def _run(self) -> None:
         while not self._stopping.wait(_POLL_SECONDS):
             with self._lock:
-                gone = [watched for watched in self._watched if watched.is_gone()]
-                self._watched.difference_update(gone)
-            for watched in gone:
-                watched.on_gone()
+                disconnected = [
+                    watched for watched in self._watched if watched.is_disconnected()
+                ]
+                self._watched.difference_update(disconnected)
+            for watched in disconnected:
+                watched.on_disconnect()
--- a/src/rudderpass/gateway/_handler.py
+++ b/src/rudderpass/gateway/_handler.py
@@ -64,7 +64,7 @@
     """The caller's connection, as the WSGI server exposes it."""
 
     start_response: StartResponse
-    is_gone: Callable[[], bool]
+    is_disconnected: Callable[[], bool]
     pending: Callable[[], int]
 
 
@@ -224,7 +224,7 @@
     ) -> Granted | Problem:
         future = pending_request.future
         with self._services.disconnects.watch(
-            self._caller.is_gone, self._make_cancel(pending_request)
+            self._caller.is_disconnected, self._make_cancel(pending_request)
         ):
             try:
                 decision = future.result()
@@ -261,7 +261,7 @@
             response = self._open_exchange(spec, granted)
             try:
                 with self._services.disconnects.watch(
-                    self._caller.is_gone, response.close
+                    self._caller.is_disconnected, response.close
                 ):
                     if response.is_stream():
                         usage, body = self._relay_stream(
@@ -283,7 +283,7 @@
                 usage = Usage(GrantOutcome.UNUSED)
             if error.refused or not error.sent:
                 self._attempt_may_have_run = False
-            if self._caller.is_gone():
+            if self._caller.is_disconnected():
                 usage = Usage(GrantOutcome.CANCELLED)
                 raise CallerGone("the caller left", step="answer") from error
             raise
@@ -314,8 +314,10 @@
         if self._state.produced:
             headers[RESUME_HEADER] = str(self._state.produced)
         self._attempt_may_have_run = True
-        sent = UpstreamRequest(request.method, request.target, headers, request.body)
-        return open_response(spec, sent, self._services.upstream_timeout)
+        upstream_request = UpstreamRequest(
+            request.method, request.target, headers, request.body
+        )
+        return open_response(spec, upstream_request, self._services.upstream_timeout)
 
     def _relay_stream(
         self,
@@ -335,13 +337,13 @@
         sink = StreamSink(
             self._write,
             self._caller.pending,
-            self._caller.is_gone,
+            self._caller.is_disconnected,
             lambda tokens: self._services.admission.record_progress(attempt, tokens),
         )
         relay_started = time.monotonic()
         future = self._services.relay.relay(
             response.socket,
-            response.take_buffered(),
+            response.read_buffered(),
             response.chunked,
             sink,
             self._services.upstream_timeout,
@@ -362,13 +364,13 @@
         return usage, []
 
     def _stream_usage(self, result: StreamResult, open_seconds: float) -> Usage:
-        endings = {
+        outcomes = {
             StreamEnd.COMPLETE: GrantOutcome.COMPLETED,
             StreamEnd.BROKEN: GrantOutcome.FAILED,
             StreamEnd.CALLER_GONE: GrantOutcome.CANCELLED,
         }
         return Usage(
-            endings[result.end],
+            outcomes[result.end],
             result.tokens,
             result.first_token + open_seconds,
             result.duration + open_seconds,
@@ -404,8 +406,8 @@
                 peer=spec.address,
             )
         tokens = _count_tokens(complete)
-        ending = GrantOutcome.FAILED if failed else GrantOutcome.COMPLETED
-        usage = Usage(ending, tokens, duration, duration)
+        grant_outcome = GrantOutcome.FAILED if failed else GrantOutcome.COMPLETED
+        usage = Usage(grant_outcome, tokens, duration, duration)
         outcome = Outcome.UNKNOWN if failed else Outcome.COMPLETED
         headers = [
             ("Content-Type", complete.content_type),
--- a/src/rudderpass/membership/_view.py
+++ b/src/rudderpass/membership/_view.py
@@ -1,9 +1,9 @@
 """One node's view of which nodes are live.
 
 The platform's host list lags, so a node also uses its own observations: a failed
-call makes a peer suspect, an answered call clears it, and a peer that sends messages
-is live before the list names it. A suspicion reported by a peer is not trusted,
-because that peer may itself be cut off; it only makes the node probe the suspect.
+call makes a peer suspect, a successful call clears it, and a peer that sends messages
+is live before the list names it. A suspicion reported by a peer is not adopted,
+because that peer may itself be partitioned; it only makes the node probe the suspect.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Suspicion:
-    """A peer that a node suspects to be down, and for how many seconds it has."""
+    """A peer that a node suspects to be down, and the suspicion's age in seconds."""
 
     node: NodeId
     age: float
@@ -98,7 +98,7 @@
 
     @property
     def suspects(self) -> frozenset[NodeId]:
-        """Peers that this node takes to be unreachable."""
+        """Peers that this node considers unreachable."""
         return frozenset(self._suspects)
 
     def live(self) -> tuple[NodeId, ...]:
@@ -144,7 +144,7 @@
         return True
 
     def record_contact(self, peer: NodeId, now: float) -> bool:
-        """Record a sign of life from a peer; return whether it changes the view."""
+        """Record contact with a peer; return whether it changes the view."""
         changed = peer in self._suspects or peer not in self._last_contact
         self._suspects.pop(peer, None)
         self._last_contact[peer] = now
--- a/src/rudderpass/node/_follower.py
+++ b/src/rudderpass/node/_follower.py
@@ -98,9 +98,9 @@
     def _apply_page(self, state: ConfigState, page: LogPage) -> ConfigState:
         if any(parse_snapshot(record.data) for record in page.records):
             self.snapshot_read_at = time.monotonic()
-        newer, verdicts = replay_page(state, page)
-        for verdict in verdicts:
-            _log_verdict(verdict)
+        newer, outcomes = replay_page(state, page)
+        for outcome in outcomes:
+            _log_outcome(outcome)
         if newer.version > state.version:
             self._on_config(newer, "log")
         return newer
@@ -121,12 +121,12 @@
         self._stopping.wait(backoff)
 
 
-def _log_verdict(verdict: ChangeOutcome) -> None:
-    result = "accepted" if verdict.accepted else "refused"
+def _log_outcome(outcome: ChangeOutcome) -> None:
+    result = "accepted" if outcome.accepted else "refused"
     log(
         "config",
-        f"change {verdict.change_id} by {verdict.author} is {result}.",
-        version=verdict.version,
-        objects=[str(key) for key in verdict.keys],
-        conflicts=[conflict.show() for conflict in verdict.conflicts],
+        f"change {outcome.change_id} by {outcome.author} is {result}.",
+        version=outcome.version,
+        objects=[str(key) for key in outcome.keys],
+        conflicts=[conflict.show() for conflict in outcome.conflicts],
     )
--- a/src/rudderpass/peers/_decode.py
+++ b/src/rudderpass/peers/_decode.py
@@ -28,7 +28,7 @@
     Renew,
     Resend,
     Reserve,
-    RunningWork,
+    RunningRequest,
     Shed,
 )
 from rudderpass.routing import GrantOutcome, Usage
@@ -131,7 +131,7 @@
 
 def _decode_renew(value: wire.Renew, now: float) -> Renew:
     running = tuple(
-        RunningWork(
+        RunningRequest(
             RequestId(item.request_id),
             UpstreamId(item.upstream),
             item.token,
--- a/src/rudderpass/peers/_encode.py
+++ b/src/rudderpass/peers/_encode.py
@@ -105,13 +105,13 @@
 def _(message: Renew, now: float) -> wire.Message:
     running = [
         wire.Running(
-            request_id=work.request_id,
-            upstream=work.upstream,
-            token=work.token,
-            tier=work.tier,
-            tokens=work.tokens or None,
+            request_id=request.request_id,
+            upstream=request.upstream,
+            token=request.token,
+            tier=request.tier,
+            tokens=request.tokens or None,
         )
-        for work in message.running
+        for request in message.running
     ]
     renew = wire.Renew(
         pool=message.pool, waiting=list(message.waiting), running=running
--- a/src/rudderpass/pools/__init__.py
+++ b/src/rudderpass/pools/__init__.py
@@ -1,7 +1,7 @@
 """Pools: the owner queues reservations and grants slots; entry nodes renew leases."""
 
 from rudderpass.pools._entry import (
-    ANSWER_SECONDS as ANSWER_SECONDS,
+    RESPONSE_TIMEOUT_SECONDS as RESPONSE_TIMEOUT_SECONDS,
     EntryReservations as EntryReservations,
     Granted as Granted,
     Refused as Refused,
@@ -16,7 +16,7 @@
     Resend as Resend,
     Reserve as Reserve,
     RoutingDecision as RoutingDecision,
-    RunningWork as RunningWork,
+    RunningRequest as RunningRequest,
     Send as Send,
     Shed as Shed,
 )
--- a/src/rudderpass/pools/_entry.py
+++ b/src/rudderpass/pools/_entry.py
@@ -14,17 +14,17 @@
     Renew,
     Resend,
     Reserve,
-    RunningWork,
+    RunningRequest,
     Send,
     Shed,
 )
 from rudderpass.routing import GrantOutcome, Usage
 
-ANSWER_SECONDS = 0.25
-"""A reservation that the owner has not answered for so long is sent again."""
+RESPONSE_TIMEOUT_SECONDS = 0.25
+"""Time without a response from the owner after which a reservation is sent again."""
 
 _RETRY_DELAY_SECONDS = 1.0
-"""Delay between retries, in addition to ``ANSWER_SECONDS``."""
+"""Delay between retries, in addition to ``RESPONSE_TIMEOUT_SECONDS``."""
 
 
 @dataclass(frozen=True)
@@ -144,13 +144,13 @@
     def retry_unanswered(self, now: float) -> list[EntryAction]:
         """Resend, as reliable messages, the reservations not answered in time.
 
-        A failed reliable message is how the node detects that the owner is gone.
+        A failed reliable message is how the node detects that the owner has failed.
         """
         actions: list[EntryAction] = []
         for request in self._requests.values():
             if request.upstream is not None or request.is_queued:
                 continue
-            if now - request.timeout_from < ANSWER_SECONDS:
+            if now - request.timeout_from < RESPONSE_TIMEOUT_SECONDS:
                 continue
             request.timeout_from = now + _RETRY_DELAY_SECONDS
             owner = self._owners[request.reservation.pool]
@@ -228,7 +228,7 @@
                 waiting.append(request_id)
             else:
                 running.append(
-                    RunningWork(
+                    RunningRequest(
                         request_id,
                         request.upstream,
                         request.token,
--- a/src/rudderpass/pools/_messages.py
+++ b/src/rudderpass/pools/_messages.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class RunningWork:
+class RunningRequest:
     """A granted reservation, as its entry node reports it.
 
     :param tokens: tokens streamed so far.
@@ -88,7 +88,7 @@
 
     pool: PoolId
     waiting: tuple[RequestId, ...]
-    running: tuple[RunningWork, ...]
+    running: tuple[RunningRequest, ...]
 
 
 @dataclass(frozen=True)
--- a/src/rudderpass/pools/_owner.py
+++ b/src/rudderpass/pools/_owner.py
@@ -24,7 +24,7 @@
     Resend,
     Reserve,
     RoutingDecision,
-    RunningWork,
+    RunningRequest,
     Send,
     Shed,
 )
@@ -40,7 +40,7 @@
 _MIN_RETRY_AFTER_SECONDS = 1.0
 _MAX_RETRY_AFTER_SECONDS = 30.0
 _RATE_WARMUP_SECONDS = 5.0
-"""The service rate is used for shedding once the owner has granted for so long."""
+"""The service rate is used for shedding once the owner has granted for this long."""
 
 
 @dataclass
@@ -264,7 +264,7 @@
             actions += self._refuse(candidate, "overload", now)
 
     def _is_protected(self, candidate: Reservation) -> bool:
-        """Return whether a lower tier holds a slot, so that this may not be shed."""
+        """Return whether a lower tier holds a slot, which rules out shedding."""
         return any(item.tier > candidate.tier for item in self._granted.values())
 
     def _estimated_wait(self, now: float) -> float:
@@ -294,7 +294,7 @@
         shed = Shed(self._pool, reservation.request_id, reason, retry_after)
         return [decision, Send(entry, shed)]
 
-    def _adopt(self, entry: NodeId, reported: RunningWork, now: float) -> None:
+    def _adopt(self, entry: NodeId, reported: RunningRequest, now: float) -> None:
         """Take over a grant of a previous owner, or confirm one of this owner."""
         known = self._granted.get(reported.request_id)
         if known is not None:
--- a/src/rudderpass/routing/_choice.py
+++ b/src/rudderpass/routing/_choice.py
@@ -60,28 +60,32 @@
 
 
 def choose_upstream(
-    work: Reservation, pool: Iterable[UpstreamSlots], now: float
+    reservation: Reservation, pool: Iterable[UpstreamSlots], now: float
 ) -> Choice:
-    """Choose the allowed upstream that is estimated to finish ``work`` first.
+    """Choose the allowed upstream that is estimated to finish the request first.
 
-    An upstream that exceeds the class's gap target between tokens is chosen only if
-    no faster one is eligible, and none is merely full or ``work`` cannot wait for it.
+    An upstream that exceeds the class's gap target between tokens is chosen only if no
+    faster one is eligible, and none is merely full or the request cannot wait for it.
     """
-    allowed = set(work.upstreams)
+    allowed = set(reservation.upstreams)
     fast: list[tuple[float, UpstreamId]] = []
     slow: list[tuple[float, UpstreamId]] = []
     ruled_out: list[RuledOut] = []
     may_wait = False
     for upstream in pool:
-        too_slow = _is_too_slow(work, upstream)
-        reason = _find_exclusion(work, upstream, allowed, now)
+        too_slow = _is_too_slow(reservation, upstream)
+        reason = _find_exclusion(reservation, upstream, allowed, now)
         if reason:
             ruled_out.append(RuledOut(upstream.upstream, reason))
             may_wait |= reason == FULL and not too_slow
             continue
-        score = estimate_seconds(work, upstream, now)
+        score = estimate_seconds(reservation, upstream, now)
         (slow if too_slow else fast).append((score, upstream.upstream))
-    if not fast and may_wait and now < work.start_by - _SLOW_FALLBACK_MARGIN_SECONDS:
+    if (
+        not fast
+        and may_wait
+        and now < reservation.start_by - _SLOW_FALLBACK_MARGIN_SECONDS
+    ):
         ruled_out += [RuledOut(name, "too slow") for _, name in slow]
         return Choice(None, 0.0, (), tuple(ruled_out))
     candidates = sorted(fast or slow)
@@ -92,13 +96,18 @@
     return Choice(chosen, score, names, tuple(ruled_out))
 
 
-def _is_too_slow(work: Reservation, upstream: UpstreamSlots) -> bool:
+def _is_too_slow(reservation: Reservation, upstream: UpstreamSlots) -> bool:
     gap = upstream.health.gap
-    return work.gap_target > 0 and gap is not None and gap > work.gap_target
+    return (
+        reservation.gap_target > 0 and gap is not None and gap > reservation.gap_target
+    )
 
 
 def _find_exclusion(
-    work: Reservation, upstream: UpstreamSlots, allowed: set[UpstreamId], now: float
+    reservation: Reservation,
+    upstream: UpstreamSlots,
+    allowed: set[UpstreamId],
+    now: float,
 ) -> str:
     if allowed and upstream.upstream not in allowed:
         return "selector"
@@ -106,7 +115,7 @@
         return "leaving"
     if upstream.health.is_ejected(now):
         return "failing"
-    if upstream.health.is_unreachable_from(work.zone, now):
+    if upstream.health.is_unreachable_from(reservation.zone, now):
         return "unreachable"
     if upstream.free < 1:
         return FULL
@@ -115,18 +124,20 @@
     return ""
 
 
-def estimate_seconds(work: Reservation, upstream: UpstreamSlots, now: float) -> float:
-    """Estimate the seconds that ``work`` would take on ``upstream``."""
+def estimate_seconds(
+    reservation: Reservation, upstream: UpstreamSlots, now: float
+) -> float:
+    """Estimate the seconds that the request would take on ``upstream``."""
     health = upstream.health
     first_token = health.first_token
     if first_token is None:
         first_token = _DEFAULT_FIRST_TOKEN_SECONDS
-    if health.has_prefix(work.prefix_hash):
+    if health.has_prefix(reservation.prefix_hash):
         first_token *= 1 - _PREFIX_HIT_SAVING
     gap = health.gap if health.gap is not None else _DEFAULT_GAP_SECONDS
     load = upstream.running / upstream.slots
-    seconds = first_token + work.cost * gap * (1 + _FULL_LOAD_SLOWDOWN * load)
-    if upstream.zone != work.zone:
+    seconds = first_token + reservation.cost * gap * (1 + _FULL_LOAD_SLOWDOWN * load)
+    if upstream.zone != reservation.zone:
         seconds += _CROSS_ZONE_PENALTY_SECONDS
     if health.is_on_trial(now):
         seconds += _TRIAL_PENALTY_SECONDS
--- a/src/rudderpass/routing/_health.py
+++ b/src/rudderpass/routing/_health.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class _Cooldown:
-    """Until when an upstream is excluded, and for how many seconds in all."""
+    """Until when an upstream is excluded, and for how many seconds in total."""
 
     until: float
     seconds: float
--- a/src/rudderpass/streams/_relay.py
+++ b/src/rudderpass/streams/_relay.py
@@ -57,13 +57,13 @@
 
     :param write: sends bytes; raises CallerGone when the caller has disconnected.
     :param pending: returns the number of buffered bytes not yet sent to the caller.
-    :param is_gone: returns whether the caller closed its connection.
+    :param is_disconnected: returns whether the caller closed its connection.
     :param on_progress: called periodically with the number of tokens relayed.
     """
 
     write: Callable[[bytes], object]
     pending: Callable[[], int]
-    is_gone: Callable[[], bool]
+    is_disconnected: Callable[[], bool]
     on_progress: Callable[[int], None] = lambda tokens: None
 
 
@@ -275,7 +275,7 @@
     def _sweep(self, now: float) -> None:
         for stream in list(self._streams):
             stream.report_progress(now)
-            if stream.sink.is_gone():
+            if stream.sink.is_disconnected():
                 self._end_stream(stream, StreamEnd.CALLER_GONE, now)
             elif stream.paused:
                 self._resume_reading(stream, now)
--- a/src/rudderpass/upstreams/_exchange.py
+++ b/src/rudderpass/upstreams/_exchange.py
@@ -21,7 +21,7 @@
 _MAX_BUFFERED_BYTES = 65536
 
 RESUME_HEADER = "X-Resume-Offset"
-"""Asks an engine to resume the same response after this many events."""
+"""Requests that an engine resume the same response after this many events."""
 
 PRIORITY_HEADER = "X-Request-Priority"
 """The request's tier, by which engines order their own queue."""
@@ -60,11 +60,11 @@
     chunked: bool
 
     def is_stream(self) -> bool:
-        """Tell whether the body is an event stream."""
+        """Return whether the body is an event stream."""
         is_events = self.content_type.startswith("text/event-stream")
         return self.status == http.HTTPStatus.OK and is_events
 
-    def take_buffered(self) -> bytes:
+    def read_buffered(self) -> bytes:
         """Return the body bytes that were read along with the headers.
 
         The socket becomes non-blocking; the response must not be read afterwards.
@@ -150,12 +150,12 @@
 
 @dataclass(frozen=True)
 class _Engine:
-    """Model engines answer 429 or 503 only before they start a request."""
+    """Model engines respond with 429 or 503 only before they start a request."""
 
 
 @dataclass(frozen=True)
 class _Desk:
-    """Desks report it in a header; their status alone is not conclusive."""
+    """Desks report unexecuted requests in a header; their status is not conclusive."""
 
 
 _KINDS: dict[UpstreamKind, _Engine | _Desk] = {
--- a/src/rudderpass/webserver/__init__.py
+++ b/src/rudderpass/webserver/__init__.py
@@ -2,13 +2,13 @@
 
 from rudderpass.webserver._server import (
     CONNECTION_KEY as CONNECTION_KEY,
-    GONE_KEY as GONE_KEY,
+    DISCONNECTED_KEY as DISCONNECTED_KEY,
     PENDING_KEY as PENDING_KEY,
     CallerConnection as CallerConnection,
     ErrorReply as ErrorReply,
     HttpServer as HttpServer,
     ServerLimits as ServerLimits,
     convert_disconnect as convert_disconnect,
-    never_gone as never_gone,
+    never_disconnected as never_disconnected,
     plain_error as plain_error,
 )
--- a/src/rudderpass/webserver/_server.py
+++ b/src/rudderpass/webserver/_server.py
@@ -19,7 +19,7 @@
 PENDING_KEY = "rudderpass.pending"
 """WSGI environment key of a callable that returns the unsent response bytes."""
 
-GONE_KEY = "waitress.client_disconnected"
+DISCONNECTED_KEY = "waitress.client_disconnected"
 """Waitress's environment key of a callable: whether the caller disconnected."""
 
 CONNECTION_KEY = "rudderpass.connection"
@@ -61,7 +61,7 @@
     return ErrorReply(status, headers, f"{reason}\n".encode())
 
 
-def never_gone() -> bool:
+def never_disconnected() -> bool:
     """Fallback for servers that cannot detect disconnected callers."""
     return False
 
@@ -91,7 +91,7 @@
         self._channel = channel
 
     @property
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the caller closed the connection."""
         return not self._channel.connected
 
@@ -102,11 +102,11 @@
         """
         self._task.set_close_on_finish()
 
-    def watch(self, on_gone: Callable[[], None] | None) -> None:
-        """Call ``on_gone`` once the caller disconnects; None removes the callback."""
-        self._channel.on_gone = on_gone
-        if on_gone is not None and self.is_gone:
-            on_gone()
+    def watch(self, on_disconnect: Callable[[], None] | None) -> None:
+        """Call ``on_disconnect`` when the caller disconnects; None removes it."""
+        self._channel.on_disconnect = on_disconnect
+        if on_disconnect is not None and self.is_disconnected:
+            on_disconnect()
 
 
 class _Task(WSGITask):  # type: ignore[misc]
@@ -135,14 +135,14 @@
 class _Channel(HTTPChannel):  # type: ignore[misc]
     task_class = _Task
     error_task_class = _ErrorTask
-    on_gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     def handle_close(self) -> None:
         super().handle_close()
-        on_gone = self.on_gone
-        self.on_gone = None
-        if on_gone is not None:
-            on_gone()
+        on_disconnect = self.on_disconnect
+        self.on_disconnect = None
+        if on_disconnect is not None:
+            on_disconnect()
 
     @property
     def is_idle(self) -> bool:
@@ -238,7 +238,7 @@
         try:
             self._server.trigger.pull_trigger(action)
         except OSError:
-            # An awake loop may run the action and close its trigger before this write.
+            # The loop may run the action and close its trigger before this write.
             if not self._closed:
                 raise
 
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Keyed work runs at most once, whatever fails at nodes or the log."""
+"""A request with a key runs at most once, whatever fails at nodes or the log."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 class ClaimMachine(RuleBasedStateMachine):
     """Attempts on three nodes; records are delayed or lost, and nodes crash.
 
-    An attempt runs its work only after its node has read its claim back as the
+    An attempt runs its request only after its node has read its claim back as the
     winner, as :class:`Claimer` does.
     """
 
@@ -79,7 +79,7 @@
         self.append(Claim(key=KEY, attempt=attempt, digest="d"), delivery)
 
     @rule(node=st.integers(0, 2), count=st.integers(1, 6))
-    def read_on(self, node: int, count: int) -> None:
+    def read_records(self, node: int, count: int) -> None:
         for data in self.log[self.read_counts[node] :][:count]:
             for record in parse_batch(data):
                 self.tables[node].apply(record)
@@ -99,8 +99,8 @@
 
     @precondition(lambda self: set(self.node_by_attempt) - self.ended)
     @rule(pick=st.integers(0, 100), delivery=st.sampled_from(["now", "late"]))
-    def give_up(self, pick: int, delivery: str) -> None:
-        """A caller leaves or the log is too slow: the work is not run, so released."""
+    def end_attempt(self, pick: int, delivery: str) -> None:
+        """The caller disconnects or the log is too slow; the claim is released."""
         open_attempts = sorted(set(self.node_by_attempt) - self.ended)
         attempt = open_attempts[pick % len(open_attempts)]
         self.ended.add(attempt)
@@ -123,13 +123,13 @@
     def crash(self, node: int) -> None:
         """The node's attempts end without a record; it rereads the log."""
         self.ended |= {
-            name for name, home in self.node_by_attempt.items() if home == node
+            name for name, owner in self.node_by_attempt.items() if owner == node
         }
         self.tables[node] = self.table_type()
         self.read_counts[node] = 0
 
     @invariant()
-    def the_work_ran_at_most_once(self) -> None:
+    def the_request_ran_at_most_once(self) -> None:
         assert len(self.runs) <= 1, self.runs
 
 
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -52,7 +52,7 @@
 
 @dataclass
 class Harness:
-    """The node under test and the stand-ins around it."""
+    """The node under test and its stand-ins."""
 
     node: Node
     engines: list[StandInEngine]
--- a/tests/gateway/test_responses.py
+++ b/tests/gateway/test_responses.py
@@ -1,4 +1,4 @@
-"""Responses over real sockets are complete, unmixed, and carry the true outcome."""
+"""Responses over real sockets are complete, unmixed and have the true outcome."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     assert streamed.headers["Content-Type"] == "text/event-stream"
     assert text_of_stream(streamed.body) == expected
     assert b"data: [DONE]\n\n: outcome=completed" in streamed.body
-    whole = harness.call(chat(prompt))
-    assert whole.json["choices"][0]["message"]["content"] == expected
-    assert whole.headers["X-Rudderpass-Outcome"] == "completed"
+    unstreamed = harness.call(chat(prompt))
+    assert unstreamed.json["choices"][0]["message"]["content"] == expected
+    assert unstreamed.headers["X-Rudderpass-Outcome"] == "completed"
 
 
 def test_concurrent_callers_get_their_own_responses(harness: Harness) -> None:
@@ -170,12 +170,12 @@
     harness.hosts.set_upstream(leaving.address, HostState.LEAVING)
     pools = harness.node.runtime.core.owned
 
-    def is_known() -> bool:
+    def is_marked_leaving() -> bool:
         return any(
             item.leaving for pool in pools.values() for item in pool.upstreams.values()
         )
 
-    wait_until(is_known)
+    wait_until(is_marked_leaving)
     for number in range(8):
         assert harness.call(chat(f"hello {number}")).status == 200
     assert leaving.counts.starts.total() == 0
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -30,7 +30,7 @@
     assert make_view().live() == tuple(NODES)
 
 
-def test_a_failed_call_makes_a_node_suspect_and_an_answer_clears_it() -> None:
+def test_a_failed_call_makes_a_node_suspect_and_a_later_contact_clears_it() -> None:
     view = make_view()
     assert view.record_failure(NODES[3], 1.0)
     assert NODES[3] not in view.live()
@@ -38,7 +38,7 @@
     assert NODES[3] in view.live()
 
 
-def test_reported_suspicions_are_probed_not_trusted() -> None:
+def test_reported_suspicions_are_probed_not_adopted() -> None:
     view = make_view()
     probe = Probe(0, (Suspicion(NODES[4], 1.0),))
     view.receive_probe(NODES[1], probe, 1.0)
--- a/tests/node/test_platform_faults.py
+++ b/tests/node/test_platform_faults.py
@@ -37,8 +37,8 @@
 ) -> None:
     for action in actions:
         if isinstance(action, SendPeer):
-            answer = cores[action.peer].receive(sender, action.message, 1.0)
-            deliver_messages(cores, action.peer, [*answer])
+            replies = cores[action.peer].receive(sender, action.message, 1.0)
+            deliver_messages(cores, action.peer, [*replies])
 
 
 def test_a_node_without_configuration_gets_it_from_a_peer() -> None:
@@ -69,7 +69,7 @@
     assert core.config == new
 
 
-def test_a_peer_with_an_older_configuration_is_not_asked() -> None:
+def test_no_configuration_is_requested_from_a_peer_with_an_older_one() -> None:
     cores = {A: make_core(A), B: make_core(B)}
     cores[A].apply_config(make_config_state(make_catalog()), "log", 0.0)
     deliver_messages(cores, B, [*cores[B].tick(1.0)])
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -36,7 +36,7 @@
     Renew,
     Resend,
     Reserve,
-    RunningWork,
+    RunningRequest,
     Shed,
 )
 from rudderpass.routing import GrantOutcome, Usage
@@ -54,7 +54,7 @@
     Grant(POOL, R0, U1, 2**60),
     Shed(POOL, R0, "overload", 2.5),
     Release(POOL, R0, U1, 7, Usage(GrantOutcome.UNREACHABLE, 3, 0.1, 0.5), ZONE),
-    Renew(POOL, (R0,), (RunningWork(RequestId("r1"), U1, 9, 2, 40),)),
+    Renew(POOL, (R0,), (RunningRequest(RequestId("r1"), U1, 9, 2, 40),)),
     Resend(POOL, (R0,)),
     Probe(12, (Suspicion(NodeId("n"), 1.5),), True),
     StateRequest(3),
--- a/tests/pools/test_entry.py
+++ b/tests/pools/test_entry.py
@@ -4,7 +4,7 @@
 
 from rudderpass._ids import NodeId, RequestId, UpstreamId
 from rudderpass.pools import (
-    ANSWER_SECONDS,
+    RESPONSE_TIMEOUT_SECONDS,
     Cancel,
     EntryReservations,
     Grant,
@@ -102,11 +102,11 @@
 
 def test_an_unanswered_reservation_is_resent_reliably() -> None:
     entry = make_entry()
-    assert entry.retry_unanswered(ANSWER_SECONDS / 2) == []
-    (retry,) = entry.retry_unanswered(ANSWER_SECONDS)
+    assert entry.retry_unanswered(RESPONSE_TIMEOUT_SECONDS / 2) == []
+    (retry,) = entry.retry_unanswered(RESPONSE_TIMEOUT_SECONDS)
     assert isinstance(retry, Send) and retry.reliable
     assert isinstance(retry.message, Reserve)
-    assert entry.retry_unanswered(ANSWER_SECONDS + 0.1) == []
+    assert entry.retry_unanswered(RESPONSE_TIMEOUT_SECONDS + 0.1) == []
 
 
 def test_a_queued_reservation_is_not_resent() -> None:
--- a/tests/pools/test_owner.py
+++ b/tests/pools/test_owner.py
@@ -29,7 +29,7 @@
     Renew,
     Resend,
     Reserve,
-    RunningWork,
+    RunningRequest,
     Send,
     Shed,
 )
@@ -73,8 +73,8 @@
     return messages_of(actions, Grant)
 
 
-def release(grant: Grant, ending: GrantOutcome = GrantOutcome.COMPLETED) -> Release:
-    usage = Usage(ending, 10, 0.1, 1.0)
+def release(grant: Grant, outcome: GrantOutcome = GrantOutcome.COMPLETED) -> Release:
+    usage = Usage(outcome, 10, 0.1, 1.0)
     return Release(POOL, grant.request_id, grant.upstream, grant.token, usage, ZONE)
 
 
@@ -96,7 +96,7 @@
 def test_a_new_owner_counts_requests_already_running() -> None:
     owner = make_owner(u1=2)
     running = tuple(
-        RunningWork(RequestId(f"old-{number}"), U1, number, 2) for number in range(2)
+        RunningRequest(RequestId(f"old-{number}"), U1, number, 2) for number in range(2)
     )
     owner.renew(ENTRY, Renew(POOL, (), running), START + 0.1)
     assert grants_in(owner.reserve(OTHER, make_reserve(0), READY)) == []
@@ -104,7 +104,7 @@
     assert len(grants_in(owner.release(done, READY + 1))) == 1
 
 
-def test_a_repeated_reservation_is_granted_once() -> None:
+def test_a_duplicate_reservation_is_granted_once() -> None:
     owner = make_owner()
     first = owner.reserve(ENTRY, make_reserve(0), READY)
     assert len(grants_in(first)) == 1
@@ -120,7 +120,7 @@
     assert (resent.upstream, resent.token) == (grant.upstream, grant.token)
 
 
-def test_an_unknown_waiting_request_is_requested() -> None:
+def test_the_reservation_of_an_unknown_waiting_request_is_requested() -> None:
     owner = make_owner()
     actions = owner.renew(ENTRY, Renew(POOL, (RequestId("lost"),), ()), READY)
     (resend,) = messages_of(actions, Resend)
@@ -131,7 +131,7 @@
     owner = make_owner(u1=1)
     (grant,) = grants_in(owner.reserve(ENTRY, make_reserve(0), READY))
     owner.reserve(ENTRY, make_reserve(1), READY)
-    held = RunningWork(grant.request_id, U1, grant.token, 2)
+    held = RunningRequest(grant.request_id, U1, grant.token, 2)
     waiting = (RequestId("r0001"),)
     owner.renew(ENTRY, Renew(POOL, waiting, (held,)), READY + 1)
     following = grants_in(owner.renew(ENTRY, Renew(POOL, waiting, ()), READY + 2))
@@ -177,7 +177,7 @@
     assert shed.request_id == "r0001" and shed.retry_after >= 1.0
 
 
-def test_a_slot_freed_after_the_longest_wait_is_not_granted() -> None:
+def test_a_slot_freed_after_the_maximum_wait_is_not_granted() -> None:
     """A slot may be released after the wait ended, but before the next tick."""
     owner = make_owner(u1=1)
     (first,) = grants_in(owner.reserve(ENTRY, make_reserve(0), READY))
@@ -215,14 +215,14 @@
 
 
 @pytest.mark.parametrize(
-    ("ending", "ejected"),
+    ("outcome", "ejected"),
     [
         (GrantOutcome.FAILED, True),
         (GrantOutcome.COMPLETED, False),
         (GrantOutcome.UNREACHABLE, True),
     ],
 )
-def test_failures_eject_an_upstream(ending: GrantOutcome, ejected: bool) -> None:
+def test_failures_eject_an_upstream(outcome: GrantOutcome, ejected: bool) -> None:
     owner = make_owner(u1=1, u2=1)
     both = (U1, U2)
     used = []
@@ -230,8 +230,8 @@
         actions = owner.reserve(ENTRY, make_reserve(number, upstreams=both), READY)
         for grant in grants_in(actions):
             used.append(grant.upstream)
-            ended = ending if grant.upstream == U1 else GrantOutcome.COMPLETED
-            owner.release(release(grant, ended), READY)
+            grant_outcome = outcome if grant.upstream == U1 else GrantOutcome.COMPLETED
+            owner.release(release(grant, grant_outcome), READY)
     assert (used.count(U1) <= 2) is ejected
 
 
@@ -277,9 +277,9 @@
         tier=st.integers(1, 3),
         entry=st.sampled_from([ENTRY, OTHER]),
         team=st.sampled_from(["a", "b"]),
-        repeat=st.booleans(),
+        resend=st.booleans(),
     )
-    def reserve(self, tier: int, entry: NodeId, team: str, repeat: bool) -> None:
+    def reserve(self, tier: int, entry: NodeId, team: str, resend: bool) -> None:
         self.number += 1
         message = make_reserve(
             self.number,
@@ -295,7 +295,7 @@
         self.tiers[name] = tier
         self.waiting[name] = entry
         self.apply(self.owner.reserve(entry, message, self.now))
-        if repeat:
+        if resend:
             self.apply(self.owner.reserve(entry, message, self.now))
 
     @precondition(lambda self: self.running)
@@ -314,7 +314,7 @@
                 RequestId(name) for name, node in self.waiting.items() if node == entry
             )
             running = tuple(
-                RunningWork(RequestId(name), U1, grant.token, self.tiers[name])
+                RunningRequest(RequestId(name), U1, grant.token, self.tiers[name])
                 for name, (node, grant) in self.running.items()
                 if node == entry
             )
@@ -345,7 +345,7 @@
 
 
 class FreesSlotsTwice(PoolOwner):
-    """Broken on purpose: a repeated release frees a second slot."""
+    """Broken on purpose: a duplicate release frees a second slot."""
 
     def release(self, message: Release, now: float) -> list[OwnerAction]:
         upstream = self._upstreams[message.upstream]
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -59,13 +59,13 @@
 def test_the_reason_for_ruling_out_an_upstream(
     changes: dict[str, Any], reason: str
 ) -> None:
-    work = make_reservation(0, arrived=NOW, upstreams=())
-    choice = choose_upstream(work, [make_slots("a", **changes)], NOW)
+    reservation = make_reservation(0, arrived=NOW, upstreams=())
+    choice = choose_upstream(reservation, [make_slots("a", **changes)], NOW)
     assert choice.chosen is None
     assert [out.reason for out in choice.ruled_out] == [reason]
 
 
-def test_a_slow_upstream_is_used_only_when_the_work_cannot_wait() -> None:
+def test_a_slow_upstream_is_used_only_when_the_request_cannot_wait() -> None:
     slow, full = make_slots("slow", 0.2), make_slots("fast", running=4)
     assert choose(slow, full, gap_target=0.05, start_target=5.0) is None
     assert choose(slow, full, gap_target=0.05, start_target=0.1) == "slow"
@@ -77,18 +77,18 @@
     failing = make_slots("a")
     for _ in range(2):
         failing.health.record_usage(Usage(GrantOutcome.FAILED), ZONE, NOW)
-    work = make_reservation(0, arrived=NOW, upstreams=())
-    assert choose_upstream(work, [failing], NOW + 0.1).chosen is None
-    assert choose_upstream(work, [failing], NOW + 3).chosen == "a"
+    reservation = make_reservation(0, arrived=NOW, upstreams=())
+    assert choose_upstream(reservation, [failing], NOW + 0.1).chosen is None
+    assert choose_upstream(reservation, [failing], NOW + 3).chosen == "a"
     failing.running = 1
-    assert choose_upstream(work, [failing], NOW + 3).chosen is None
+    assert choose_upstream(reservation, [failing], NOW + 3).chosen is None
     failing.health.record_usage(
         Usage(GrantOutcome.COMPLETED, 1, 0.1, 0.1), ZONE, NOW + 4
     )
-    assert choose_upstream(work, [failing], NOW + 4).chosen == "a"
+    assert choose_upstream(reservation, [failing], NOW + 4).chosen == "a"
 
 
-def test_lengths_are_learned_and_corrected_while_a_stream_runs() -> None:
+def test_lengths_are_estimated_and_updated_while_a_stream_runs() -> None:
     lengths = LengthEstimator()
     name = make_reservation(0).service_class
     before = lengths.expect(name, "r")
--- a/tests/streams/test_relay.py
+++ b/tests/streams/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay: only whole events, detection of breaks, isolation of slow callers."""
+"""The relay: only complete events, detection of breaks, isolation of slow callers."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
     def __init__(self) -> None:
         self.data = b""
-        self.gone = False
+        self.disconnected = False
         self.full = False
 
     def write(self, data: bytes) -> None:
-        if self.gone:
+        if self.disconnected:
             raise CallerGone("gone")
         self.data += data
 
     def as_sink(self) -> StreamSink:
         return StreamSink(
-            self.write, lambda: 10**9 if self.full else 0, lambda: self.gone
+            self.write, lambda: 10**9 if self.full else 0, lambda: self.disconnected
         )
 
 
@@ -71,17 +71,17 @@
     assert caller.data == EVENT + DONE
 
 
-WHOLE = chunk(EVENT) + chunk(EVENT) + chunk(DONE) + b"0\r\n\r\n"
+COMPLETE_BODY = chunk(EVENT) + chunk(EVENT) + chunk(DONE) + b"0\r\n\r\n"
 
 
-@pytest.mark.parametrize("kept", range(len(WHOLE)))
-def test_a_stream_truncated_anywhere_is_broken_and_only_whole_events_are_relayed(
+@pytest.mark.parametrize("kept", range(len(COMPLETE_BODY)))
+def test_a_stream_truncated_anywhere_is_broken_and_only_complete_events_are_relayed(
     relay: Relay, kept: int
 ) -> None:
     local, remote = open_pair()
     caller = FakeCaller()
     future = relay.relay(local, b"", True, caller.as_sink(), TIMEOUT)
-    remote.sendall(WHOLE[:kept])
+    remote.sendall(COMPLETE_BODY[:kept])
     remote.close()
     result = future.result(TIMEOUT)
     assert result.end is StreamEnd.BROKEN
@@ -108,7 +108,7 @@
     local, remote = open_pair()
     caller = FakeCaller()
     future = relay.relay(local, b"", True, caller.as_sink(), TIMEOUT)
-    caller.gone = True
+    caller.disconnected = True
     assert future.result(TIMEOUT).end is StreamEnd.CALLER_GONE
     remote.close()
 
--- a/tests/webserver/test_server.py
+++ b/tests/webserver/test_server.py
@@ -101,7 +101,7 @@
 def close_idle_until_closed(server: HttpServer, sock: socket.socket) -> bytes:
     """Close idle connections repeatedly, as a stop does, until this one is closed.
 
-    A caller may have the whole response before the server's thread has finished it.
+    A caller may have the complete response before the server's thread has finished it.
     """
     sock.settimeout(0.05)
     deadline = time.monotonic() + TIMEOUT
@@ -116,33 +116,33 @@
 def test_a_connection_whose_response_is_being_finished_is_closed_by_a_later_call() -> (
     None
 ):
-    ending, ended = threading.Event(), threading.Event()
+    closing, may_finish = threading.Event(), threading.Event()
 
     class Body:
         def __iter__(self) -> Iterator[bytes]:
             yield b"hello"
 
         def close(self) -> None:
-            ending.set()
-            ended.wait(TIMEOUT)
+            closing.set()
+            may_finish.wait(TIMEOUT)
 
-    def answer(
+    def respond(
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         start_response("200 OK", [("Content-Length", "5")])
         return Body()
 
-    server = serve(answer)
+    server = serve(respond)
     connection = http.client.HTTPConnection(server.address, timeout=TIMEOUT)
     connection.request("GET", "/")
     assert connection.getresponse().read() == b"hello"
-    assert ending.wait(TIMEOUT)
+    assert closing.wait(TIMEOUT)
     assert connection.sock is not None
     connection.sock.settimeout(0.1)
     server.close_idle()
     with pytest.raises(TimeoutError):
         connection.sock.recv(1)
-    ended.set()
+    may_finish.set()
     assert close_idle_until_closed(server, connection.sock) == b""
     connection.close()
     server.close()
