--- a/src/rudderpass/cli/_demo.py
+++ b/src/rudderpass/cli/_demo.py
@@ -9,8 +9,8 @@
 
 import click
 
-from rudderpass.cli._base import json_option, print_json, quiet_libraries
-from rudderpass.demo import DemoOptions, World, render, run_demo, token_of
+from rudderpass.cli._base import json_option, print_json, silence_library_logs
+from rudderpass.demo import DemoDeployment, DemoOptions, demo_token, render, run_demo
 from rudderpass.errors import GuaranteeViolated, SettingsError
 from rudderpass.observe import LogFile
 from rudderpass.replay import read_trace
@@ -39,17 +39,17 @@
 @click.option(
     "--log-file",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write the nodes' structured logs there.",
+    help="Write the structured logs of the nodes to this file.",
 )
 @click.option(
     "--faults",
     is_flag=True,
-    help="Also crash an engine, pause a node, and let the log fail.",
+    help="Also crash an engine, pause a node and make the log service fail.",
 )
 @click.option(
     "--serve",
     is_flag=True,
-    help="Keep everything running until a signal, for a client of your own.",
+    help="Serve until a signal, for use with your own client.",
 )
 @json_option
 def demo(
@@ -61,14 +61,16 @@
     serve: bool,
     as_json: bool,
 ) -> None:
-    """Run a small deployment in one process and check every answer.
+    """Run a small deployment in one process and check every response.
 
-    The exit status is 3 if any promise broke.
+    The exit status is 3 if any promise was broken.
     """
     directory = examples / profile
     if not directory.is_dir():
-        raise SettingsError(f"--examples: {directory} is not there", step="settings")
-    quiet_libraries()
+        raise SettingsError(
+            f"--examples: {directory} is not a directory", step="settings"
+        )
+    silence_library_logs()
     destination = LogFile(log_file) if log_file is not None else None
     if destination is not None:
         destination.open()
@@ -89,8 +91,8 @@
 
 
 def _serve(directory: Path) -> None:
-    world = World(directory, _SERVE_NODES, _SEED)
-    world.start()
+    deployment = DemoDeployment(directory, _SERVE_NODES, _SEED)
+    deployment.start()
     stop = threading.Event()
 
     def on_signal(number: int, frame: FrameType | None) -> None:
@@ -99,26 +101,26 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_signal)
     try:
-        _print_addresses(world)
+        _print_addresses(deployment)
         stop.wait()
     finally:
-        world.close()
+        deployment.close()
 
 
-def _print_addresses(world: World) -> None:
-    team = next(iter(world.catalog.teams))
-    model = world.catalog.models[0]
-    address = world.nodes[0].address
-    for node in world.nodes:
+def _print_addresses(deployment: DemoDeployment) -> None:
+    team = next(iter(deployment.catalog.teams))
+    model = deployment.catalog.models[0]
+    address = deployment.nodes[0].address
+    for node in deployment.nodes:
         click.echo(f"base URL  http://{node.address}/v1  admin {node.admin_address}")
-    click.echo(f"token     {token_of(team)} (team {team})")
-    click.echo(f"models    {', '.join(world.catalog.models)}")
+    click.echo(f"token     {demo_token(team)} (team {team})")
+    click.echo(f"models    {', '.join(deployment.catalog.models)}")
     body = (
         f'{{"model": "{model}", "stream": true, '
         '"messages": [{"role": "user", "content": "hello"}]}'
     )
     click.echo(
         f"curl -N http://{address}/v1/chat/completions "
-        f"-H 'Authorization: Bearer {token_of(team)}' "
+        f"-H 'Authorization: Bearer {demo_token(team)}' "
         f"-H 'Content-Type: application/json' -d '{body}'"
     )
--- a/src/rudderpass/declarations/__init__.py
+++ b/src/rudderpass/declarations/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations: objects, selectors, files, and the version in force."""
+"""Declarations: objects, selectors, files and the configuration in force."""
 
 from rudderpass.declarations._base import Spec as Spec
 from rudderpass.declarations._catalog import (
@@ -6,13 +6,13 @@
     ObjectKey as ObjectKey,
     digest_token as digest_token,
 )
-from rudderpass.declarations._history import (
+from rudderpass.declarations._config_state import (
     Change as Change,
+    ChangeOutcome as ChangeOutcome,
     ConfigState as ConfigState,
     Conflict as Conflict,
     Operation as Operation,
     Snapshot as Snapshot,
-    Verdict as Verdict,
     apply_record as apply_record,
     dump_record as dump_record,
     dump_spec as dump_spec,
@@ -20,6 +20,12 @@
     restore_snapshot as restore_snapshot,
     take_snapshot as take_snapshot,
 )
+from rudderpass.declarations._diff import (
+    DiffAction as DiffAction,
+    Difference as Difference,
+    build_change as build_change,
+    diff_state as diff_state,
+)
 from rudderpass.declarations._load import (
     Finding as Finding,
     load_declarations as load_declarations,
@@ -38,12 +44,6 @@
     UpstreamKind as UpstreamKind,
     UpstreamSpec as UpstreamSpec,
 )
-from rudderpass.declarations._publish import (
-    Difference as Difference,
-    Step as Step,
-    build_change as build_change,
-    compare as compare,
-)
 from rudderpass.declarations._selectors import (
     LabelSelector as LabelSelector,
     MatchExpression as MatchExpression,
--- a/src/rudderpass/exchange/_crashes.py
+++ b/src/rudderpass/exchange/_crashes.py
@@ -23,11 +23,11 @@
     def __init__(
         self,
         directory: Directory,
-        knowledge: RoutingState,
+        state: RoutingState,
         quarantine: QuarantineTracker,
     ) -> None:
         self._directory = directory
-        self._knowledge = knowledge
+        self._state = state
         self._quarantine = quarantine
 
     def record_cut(self, cut: CutSend, now: float) -> bool:
@@ -35,7 +35,7 @@
 
         An upstream that was about to leave closes its connections as planned.
         """
-        if self._directory.is_leaving_or_gone(cut.crash.upstream, now):
+        if self._directory.is_leaving_or_removed(cut.crash.upstream, now):
             return False
         self._quarantine.record_cut(cut, now)
         return True
@@ -44,8 +44,8 @@
         self, upstream: UpstreamId, now: float
     ) -> list[CutSend]:
         """Record that the port refuses connections; return the sends cut before."""
-        self._knowledge.health_of(upstream).record_unreachable(now)
-        self._knowledge.prefixes.forget_upstream(upstream)
+        self._state.health_of(upstream).record_unreachable(now)
+        self._state.prefixes.forget_upstream(upstream)
         return self._quarantine.record_crash(upstream, now)
 
     def record_removed(self, upstream: UpstreamId, now: float) -> None:
@@ -57,5 +57,5 @@
         if self._directory.list_age(now) > MAX_LIST_AGE_SECONDS:
             return
         for upstream in self._quarantine.crashed_before(now - CRASH_DISPROOF_SECONDS):
-            if self._directory.takes_work(upstream, now):
+            if self._directory.accepts_requests(upstream, now):
                 self._quarantine.retract_crash(upstream, now)
--- a/src/rudderpass/exchange/_quarantine_gate.py
+++ b/src/rudderpass/exchange/_quarantine_gate.py
@@ -55,7 +55,7 @@
 class QuarantineGate:
     """Applies the quarantine to the sends of one request.
 
-    Does no work while no request is suspect and no connection was cut.
+    Does nothing while no request is suspect and no connection was cut.
 
     .. versionadded:: 0.2
     """
@@ -107,7 +107,7 @@
                 return self._refuse(RefusalReason.QUARANTINED, verdict)
             if _clock.now() >= wait_until:
                 return self._refuse(RefusalReason.ON_TRIAL, verdict)
-            if self._caller.is_gone:
+            if self._caller.is_disconnected:
                 raise CallerGone("the caller left", step="trial")
             time.sleep(TRIAL_POLL_SECONDS)
 
--- a/src/rudderpass/exchange/_serve.py
+++ b/src/rudderpass/exchange/_serve.py
@@ -134,7 +134,7 @@
             try:
                 delivered = self._send.run()
             except UpstreamError as error:
-                if self._caller.is_gone:
+                if self._caller.is_disconnected:
                     raise CallerGone("the caller left", step="answer") from error
                 refused = self._after_failure(
                     accepted, assigned, error, quarantine_gate
@@ -271,7 +271,7 @@
             team=accepted.team if accepted and accepted.team else "",
             outcome=outcome,
             sends=progress.sends,
-            first_answer=progress.first_answer,
+            first_response=progress.first_response,
             longest_pause=progress.longest_pause,
             duration=_clock.now() - progress.arrived,
             late_pauses=progress.late_pauses,
--- a/src/rudderpass/gateway/_handler.py
+++ b/src/rudderpass/gateway/_handler.py
@@ -49,10 +49,10 @@
 from rudderpass.upstreams import (
     PRIORITY_HEADER,
     RESUME_HEADER,
-    OpenAnswer,
+    CompleteResponse,
+    OpenResponse,
     UpstreamRequest,
-    WholeAnswer,
-    open_answer,
+    open_response,
 )
 from rudderpass.webserver import convert_disconnect
 
@@ -64,7 +64,7 @@
     """The caller's connection, as the WSGI server exposes it."""
 
     start_response: StartResponse
-    is_gone: Callable[[], bool]
+    is_disconnected: Callable[[], bool]
     pending: Callable[[], int]
 
 
@@ -224,7 +224,7 @@
     ) -> Granted | Problem:
         future = pending_request.future
         with self._services.disconnects.watch(
-            self._caller.is_gone, self._make_cancel(pending_request)
+            self._caller.is_disconnected, self._make_cancel(pending_request)
         ):
             try:
                 decision = future.result()
@@ -261,7 +261,7 @@
             response = self._open_exchange(spec, granted)
             try:
                 with self._services.disconnects.watch(
-                    self._caller.is_gone, response.close
+                    self._caller.is_disconnected, response.close
                 ):
                     if response.is_stream():
                         usage, body = self._relay_stream(
@@ -283,7 +283,7 @@
                 usage = Usage(GrantOutcome.UNUSED)
             if error.refused or not error.sent:
                 self._attempt_may_have_run = False
-            if self._caller.is_gone():
+            if self._caller.is_disconnected():
                 usage = Usage(GrantOutcome.CANCELLED)
                 raise CallerGone("the caller left", step="answer") from error
             raise
@@ -304,7 +304,7 @@
             )
         return spec
 
-    def _open_exchange(self, spec: UpstreamSpec, granted: Granted) -> OpenAnswer:
+    def _open_exchange(self, spec: UpstreamSpec, granted: Granted) -> OpenResponse:
         request = self._request
         headers = {**request.headers, REQUEST_ID_HEADER: request.request_id}
         if self._admitted is not None:
@@ -314,13 +314,15 @@
         if self._state.produced:
             headers[RESUME_HEADER] = str(self._state.produced)
         self._attempt_may_have_run = True
-        sent = UpstreamRequest(request.method, request.target, headers, request.body)
-        return open_answer(spec, sent, self._services.upstream_timeout)
+        upstream_request = UpstreamRequest(
+            request.method, request.target, headers, request.body
+        )
+        return open_response(spec, upstream_request, self._services.upstream_timeout)
 
     def _relay_stream(
         self,
         attempt: RequestId,
-        response: OpenAnswer,
+        response: OpenResponse,
         spec: UpstreamSpec,
         started: float,
     ) -> tuple[Usage, Iterable[bytes]]:
@@ -335,13 +337,13 @@
         sink = StreamSink(
             self._write,
             self._caller.pending,
-            self._caller.is_gone,
+            self._caller.is_disconnected,
             lambda tokens: self._services.admission.record_progress(attempt, tokens),
         )
         relay_started = time.monotonic()
         future = self._services.relay.relay(
             response.socket,
-            response.take_leftover(),
+            response.read_buffered(),
             response.chunked,
             sink,
             self._services.upstream_timeout,
@@ -362,13 +364,13 @@
         return usage, []
 
     def _stream_usage(self, result: StreamResult, open_seconds: float) -> Usage:
-        endings = {
+        outcomes = {
             StreamEnd.COMPLETE: GrantOutcome.COMPLETED,
             StreamEnd.BROKEN: GrantOutcome.FAILED,
             StreamEnd.CALLER_GONE: GrantOutcome.CANCELLED,
         }
         return Usage(
-            endings[result.end],
+            outcomes[result.end],
             result.tokens,
             result.first_token + open_seconds,
             result.duration + open_seconds,
@@ -391,9 +393,9 @@
         self._recorder.record_completed(self._state.produced)
 
     def _relay_response(
-        self, response: OpenAnswer, spec: UpstreamSpec, started: float
+        self, response: OpenResponse, spec: UpstreamSpec, started: float
     ) -> tuple[Usage, Iterable[bytes]]:
-        complete = response.read_whole(spec.address)
+        complete = response.read_body(spec.address)
         duration = time.monotonic() - started
         failed = complete.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed and spec.kind is UpstreamKind.ENGINE:
@@ -404,8 +406,8 @@
                 peer=spec.address,
             )
         tokens = _count_tokens(complete)
-        ending = GrantOutcome.FAILED if failed else GrantOutcome.COMPLETED
-        usage = Usage(ending, tokens, duration, duration)
+        grant_outcome = GrantOutcome.FAILED if failed else GrantOutcome.COMPLETED
+        usage = Usage(grant_outcome, tokens, duration, duration)
         outcome = Outcome.UNKNOWN if failed else Outcome.COMPLETED
         headers = [
             ("Content-Type", complete.content_type),
@@ -477,7 +479,7 @@
         self.usage = usage
 
 
-def _count_tokens(response: WholeAnswer) -> int:
+def _count_tokens(response: CompleteResponse) -> int:
     """Return the completion tokens that an engine reports, or 0 if it reports none."""
     if not response.content_type.startswith("application/json"):
         return 0
--- a/src/rudderpass/gateway/_idempotency.py
+++ b/src/rudderpass/gateway/_idempotency.py
@@ -8,21 +8,21 @@
 from http import HTTPStatus
 
 from rudderpass.claims import (
-    MAX_ANSWER_BYTES,
+    MAX_RESPONSE_BYTES,
     AttemptId,
+    ClaimEntry,
     Claimer,
     ClaimState,
     Done,
-    Entry,
     Lost,
     Unavailable,
     digest_body,
-    make_key,
+    make_claim_key,
 )
 from rudderpass.gateway._problems import Problem, ProblemCode
 from rudderpass.gateway._request import CallerRequest
 from rudderpass.streams import Outcome
-from rudderpass.upstreams import WholeAnswer
+from rudderpass.upstreams import CompleteResponse
 
 REPLAYED_HEADER = "X-Rudderpass-Replayed"
 _CLAIM_TIMEOUT_SECONDS = 3.0
@@ -53,11 +53,11 @@
         assert request.key is not None
         self._claimer = claimer
         self._attempt = AttemptId(request.request_id)
-        self._key = make_key(request.team, route, request.key)
+        self._key = make_claim_key(request.team, route, request.key)
         self._digest = digest_body(request.body)
         self._follow_deadline = time.monotonic() + _FOLLOW_TIMEOUT_SECONDS
 
-    def claim(self) -> Problem | Entry | None:
+    def claim(self) -> Problem | ClaimEntry | None:
         """Claim the key; None means that this request may be executed.
 
         An entry belongs to another request, which holds the key.
@@ -74,7 +74,7 @@
         self.release()
         return _claim_unavailable("this node was paused past the deadline of the claim")
 
-    def follow(self, entry: Entry) -> Problem | StoredResponse | None:
+    def follow(self, entry: ClaimEntry) -> Problem | StoredResponse | None:
         """Wait for the request that holds the key; None means the key was released."""
         if entry.digest != self._digest:
             return Problem(
@@ -83,7 +83,7 @@
                 "this key was used with a different request body",
             )
         remaining = self._follow_deadline - time.monotonic()
-        latest = self._claimer.wait_done(self._key, remaining)
+        latest = self._claimer.wait_until_ended(self._key, remaining)
         if latest is None or latest.state is ClaimState.RELEASED:
             return None
         if latest.done is None:
@@ -97,9 +97,9 @@
         """Release the key, as the request was not executed; another may claim it."""
         self._claimer.release(self._key, self._attempt)
 
-    def finish(self, response: WholeAnswer) -> None:
+    def finish(self, response: CompleteResponse) -> None:
         """Store the response for later requests with the same key."""
-        is_storable = len(response.body) <= MAX_ANSWER_BYTES
+        is_storable = len(response.body) <= MAX_RESPONSE_BYTES
         body = base64.b64encode(response.body).decode() if is_storable else ""
         self._claimer.finish(
             Done(
--- a/tests/gateway/test_responses.py
+++ b/tests/gateway/test_responses.py
@@ -1,4 +1,4 @@
-"""Responses over real sockets are complete, unmixed, and carry the true outcome."""
+"""Responses over real sockets are complete, unmixed and have the true outcome."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from rudderpass.membership import HostState
-from rudderpass.standins import LogFault, booking_of, mark_prompt, plan_answer
+from rudderpass.standins import LogFault, booking_number, mark_prompt, plan_answer
 from tests.gateway.conftest import TIMEOUT, TOKEN, Harness, Reply, chat
 
 
@@ -38,9 +38,9 @@
     assert streamed.headers["Content-Type"] == "text/event-stream"
     assert text_of_stream(streamed.body) == expected
     assert b"data: [DONE]\n\n: outcome=completed" in streamed.body
-    whole = harness.call(chat(prompt))
-    assert whole.json["choices"][0]["message"]["content"] == expected
-    assert whole.headers["X-Rudderpass-Outcome"] == "completed"
+    unstreamed = harness.call(chat(prompt))
+    assert unstreamed.json["choices"][0]["message"]["content"] == expected
+    assert unstreamed.headers["X-Rudderpass-Outcome"] == "completed"
 
 
 def test_concurrent_callers_get_their_own_responses(harness: Harness) -> None:
@@ -64,7 +64,7 @@
 
 def test_requests_to_a_desk_are_forwarded(harness: Harness) -> None:
     reply = harness.call(b'{"item": 1}', path="/bookings/hold")
-    assert reply.json == {"booking": booking_of(b'{"item": 1}')}
+    assert reply.json == {"booking": booking_number(b'{"item": 1}')}
     assert reply.headers["X-Rudderpass-Outcome"] == "completed"
 
 
@@ -72,14 +72,14 @@
     harness.desk.lose_answers = 1
     reply = harness.call(b'{"item": 2}', path="/bookings/hold")
     assert reply.headers["X-Rudderpass-Outcome"] == "unknown"
-    assert harness.desk.starts[booking_of(b'{"item": 2}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 2}')] == 1
 
 
 def test_a_booking_that_the_desk_refuses_is_retried(harness: Harness) -> None:
     harness.desk.refuse = 1
     reply = harness.call(b'{"item": 3}', path="/bookings/hold")
     assert reply.status == 200
-    assert harness.desk.starts[booking_of(b'{"item": 3}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 3}')] == 1
 
 
 def test_a_booking_that_is_always_refused_is_reported_as_not_run(
@@ -89,7 +89,7 @@
     reply = harness.call(b'{"item": 4}', path="/bookings/hold")
     assert reply.status == 502
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
-    assert harness.desk.starts[booking_of(b'{"item": 4}')] == 0
+    assert harness.desk.starts[booking_number(b'{"item": 4}')] == 0
 
 
 def test_a_stream_is_resumed_when_its_engine_crashes(harness: Harness) -> None:
@@ -170,12 +170,12 @@
     harness.hosts.set_upstream(leaving.address, HostState.LEAVING)
     pools = harness.node.runtime.core.owned
 
-    def is_known() -> bool:
+    def is_marked_leaving() -> bool:
         return any(
             item.leaving for pool in pools.values() for item in pool.upstreams.values()
         )
 
-    wait_until(is_known)
+    wait_until(is_marked_leaving)
     for number in range(8):
         assert harness.call(chat(f"hello {number}")).status == 200
     assert leaving.counts.starts.total() == 0
@@ -195,18 +195,18 @@
                 lambda _: send_booking(harness, b'{"item": 5}', "key-5"), range(8)
             )
         )
-    expected = {"booking": booking_of(b'{"item": 5}')}
+    expected = {"booking": booking_number(b'{"item": 5}')}
     assert all(reply.json == expected for reply in replies)
     replayed = [reply for reply in replies if "X-Rudderpass-Replayed" in reply.headers]
     assert len(replayed) == 7
-    assert harness.desk.starts[booking_of(b'{"item": 5}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 5}')] == 1
 
 
 def test_a_key_used_with_another_body_is_refused(harness: Harness) -> None:
     send_booking(harness, b'{"item": 6}', "key-6")
     reply = send_booking(harness, b'{"item": 7}', "key-6")
     assert reply.status == 422 and reply.error["code"] == "idempotency_key_reused"
-    assert harness.desk.starts[booking_of(b'{"item": 7}')] == 0
+    assert harness.desk.starts[booking_number(b'{"item": 7}')] == 0
 
 
 def test_a_key_whose_request_was_not_executed_can_be_reused(harness: Harness) -> None:
@@ -214,7 +214,7 @@
     assert send_booking(harness, b'{"item": 8}', "key-8").status == 502
     harness.desk.refuse = 0
     assert send_booking(harness, b'{"item": 8}', "key-8").status == 200
-    assert harness.desk.starts[booking_of(b'{"item": 8}')] == 1
+    assert harness.desk.starts[booking_number(b'{"item": 8}')] == 1
 
 
 def test_requests_with_a_key_are_not_executed_while_the_log_is_down(
@@ -225,7 +225,7 @@
     assert reply.status == 503
     assert reply.headers["X-Rudderpass-Outcome"] == "not-run"
     assert "Retry-After" in reply.headers
-    assert harness.desk.starts[booking_of(b'{"item": 9}')] == 0
+    assert harness.desk.starts[booking_number(b'{"item": 9}')] == 0
     assert harness.call(b'{"item": 10}', path="/bookings/hold").status == 200
 
 
@@ -251,7 +251,7 @@
     for blocker in blockers:
         blocker.join(TIMEOUT)
     assert reply.status == 200
-    assert harness.desk.starts[booking_of(body)] == 1
+    assert harness.desk.starts[booking_number(body)] == 1
 
 
 def test_waiting_for_a_request_with_the_same_key_holds_no_slot(
@@ -268,4 +268,4 @@
         other = callers.submit(send_booking, harness, b"other", "key-13")
         assert other.result(TIMEOUT).status == 200
         assert all(future.result(TIMEOUT).status == 200 for future in same)
-    assert harness.desk.starts[booking_of(b"same")] == 1
+    assert harness.desk.starts[booking_number(b"same")] == 1
